--- a/apps/mustardctl/tests/jobs_test.cc
+++ b/apps/mustardctl/tests/jobs_test.cc
@@ -96,7 +96,7 @@
               ExitCode::kInvalidDocument));
   BOOST_TEST(err.str().find("steps") != std::string::npos);
   jobs.submit = {
-      jobs::SubmitEnd::kUnknown, Error::kDeadlineExceeded, {}, Duration(0)};
+      jobs::SubmitOutcome::kUnknown, Error::kDeadlineExceeded, {}, Duration(0)};
   BOOST_TEST(
       (Run({"cancel", "reviews", "job-1"}) == ExitCode::kUnknownOutcome));
   BOOST_TEST((Run({"state", "reviews"}) == ExitCode::kUsage));
--- a/packages/gateway/src/job_surface.cc
+++ b/packages/gateway/src/job_surface.cc
@@ -18,7 +18,7 @@
 
 using gateway_detail::kDefaultRetryAfter;
 using gateway_detail::ProblemAnswer;
-using jobs::SubmitEnd;
+using jobs::SubmitOutcome;
 
 constexpr std::string_view kPath = "/v1/jobs/";
 constexpr std::string_view kJsonType = "application/json";
@@ -55,17 +55,17 @@
 http::HttpAnswer AnswerSubmit(const jobs::JobId& id,
                               const jobs::SubmitResult& result) {
   switch (result.end) {
-    case SubmitEnd::kAccepted:
+    case SubmitOutcome::kAccepted:
       return JsonAnswer({{"id", id.Text()}});
-    case SubmitEnd::kNoSuchJob:
+    case SubmitOutcome::kNoSuchJob:
       return AnswerError(Error::kUnknownJob, Duration::zero());
-    case SubmitEnd::kNotAccepted:
+    case SubmitOutcome::kNotAccepted:
       return ProblemAnswer({.status = Status::HTTP_SERVICE_UNAVAILABLE,
                             .error = result.reason,
                             .detail = result.detail,
                             .outcome = Outcome::kNotRun,
                             .retry_after = result.retry_after});
-    case SubmitEnd::kUnknown:
+    case SubmitOutcome::kUnknown:
       break;
   }
   return ProblemAnswer({.status = Status::HTTP_GATEWAY_TIMEOUT,
--- a/packages/gateway/tests/job_surface_test.cc
+++ b/packages/gateway/tests/job_surface_test.cc
@@ -14,7 +14,7 @@
 namespace mustardproxy::testing {
 namespace {
 
-using jobs::SubmitEnd;
+using jobs::SubmitOutcome;
 
 /// Answers what the job surface does not.
 class OtherSurface final : public http::Surface {
@@ -104,14 +104,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(not_run_and_unknown_are_told_apart) {
-  jobs.submit = {SubmitEnd::kNotAccepted,
+  jobs.submit = {SubmitOutcome::kNotAccepted,
                  Error::kStoreUnavailable,
                  {},
                  std::chrono::seconds(1)};
   const auto refused = Call(http::Method::kPost, kJob, kSpec);
   BOOST_TEST(refused.status == 503);
   jobs.submit = {
-      SubmitEnd::kUnknown, Error::kDeadlineExceeded, {}, Duration(0)};
+      SubmitOutcome::kUnknown, Error::kDeadlineExceeded, {}, Duration(0)};
   const auto unknown = Call(http::Method::kPost, kJob, kSpec);
   BOOST_TEST(unknown.status == 504);
   const auto outcome = [](const http::HttpAnswer& answer) -> std::string {
--- a/packages/jobs/include/mustardproxy/jobs/job_node.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_node.h
@@ -51,7 +51,7 @@
   void OnQueryPending(const QueueName& queue,
                       JobPeerHandler::Done<std::int64_t> done) override;
   void OnCreate(CreateRequest request,
-                JobPeerHandler::Done<CreateEnd> done) override;
+                JobPeerHandler::Done<CreateOutcome> done) override;
   void OnAsk(AdviceQuestion question,
              JobPeerHandler::Done<Advice> done) override;
 
--- a/packages/jobs/include/mustardproxy/jobs/job_peers.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_peers.h
@@ -42,7 +42,7 @@
 };
 
 /// How that ended.
-enum class CreateEnd {
+enum class CreateOutcome {
   /// The key exists now.
   kExists,
   /// It was not created, and will not be.
@@ -76,7 +76,7 @@
                             Done<std::int64_t> done) = 0;
   /// Has that process create a key.
   virtual void Create(const std::string& address, const CreateRequest& request,
-                      Done<CreateEnd> done) = 0;
+                      Done<CreateOutcome> done) = 0;
   /// Lets that process ask the policy service, which serves each host in turn.
   virtual void Ask(const std::string& address, const AdviceQuestion& question,
                    Done<Advice> done) = 0;
@@ -99,7 +99,7 @@
   virtual void OnQueryJob(const JobId& job, Done<JobAnswer> done) = 0;
   virtual void OnQueryPending(const QueueName& queue,
                               Done<std::int64_t> done) = 0;
-  virtual void OnCreate(CreateRequest request, Done<CreateEnd> done) = 0;
+  virtual void OnCreate(CreateRequest request, Done<CreateOutcome> done) = 0;
   virtual void OnAsk(AdviceQuestion question, Done<Advice> done) = 0;
 };
 
--- a/packages/jobs/include/mustardproxy/jobs/job_service.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_service.h
@@ -16,7 +16,7 @@
 namespace mustardproxy::jobs {
 
 /// How handing in or cancelling a job ended.
-enum class SubmitEnd {
+enum class SubmitOutcome {
   /// Stored, now or before; it will be done.
   kAccepted,
   /// Not stored, and will not be: the job never runs.
@@ -28,7 +28,7 @@
 };
 
 struct SubmitResult {
-  SubmitEnd end = SubmitEnd::kUnknown;
+  SubmitOutcome end = SubmitOutcome::kUnknown;
   std::error_code reason;
   std::string detail;
   /// When to come back, if not accepted.
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -272,19 +272,19 @@
   ++entry->in_flight;
   this->parts.peers->Create(
       helper, request,
-      this->guard.Wrap([this, entry](const Result<CreateEnd>& end) {
+      this->guard.Wrap([this, entry](const Result<CreateOutcome>& end) {
         --entry->in_flight;
         this->OnHelper(entry, end);
       }));
 }
 
-void Intake::OnHelper(const EntryPtr& entry, const Result<CreateEnd>& end) {
-  if (end && end.value() == CreateEnd::kExists) {
+void Intake::OnHelper(const EntryPtr& entry, const Result<CreateOutcome>& end) {
+  if (end && end.value() == CreateOutcome::kExists) {
     this->Accept(entry, "by a peer", std::nullopt);
     return;
   }
   // A peer that gave no answer may have sent the write.
-  if (!end || end.value() == CreateEnd::kUncertain) entry->uncertain = true;
+  if (!end || end.value() == CreateOutcome::kUncertain) entry->uncertain = true;
   this->Continue(entry);
 }
 
@@ -297,7 +297,7 @@
                           {"job", entry->request.job.Text()},
                           {"how", how},
                           {"tries", entry->tries}});
-  this->Settle(entry, {.end = SubmitEnd::kAccepted,
+  this->Settle(entry, {.end = SubmitOutcome::kAccepted,
                        .reason = {},
                        .detail = {},
                        .retry_after = Duration::zero()});
@@ -315,11 +315,11 @@
        {"tries", entry->tries},
        {"timeout_ms", WholeMilliseconds(entry->request.timeout)},
        {"reason", reason.message()}});
-  this->Settle(entry,
-               {.end = unknown ? SubmitEnd::kUnknown : SubmitEnd::kNotAccepted,
-                .reason = reason,
-                .detail = {},
-                .retry_after = kStoreRetryAfter});
+  this->Settle(entry, {.end = unknown ? SubmitOutcome::kUnknown
+                                      : SubmitOutcome::kNotAccepted,
+                       .reason = reason,
+                       .detail = {},
+                       .retry_after = kStoreRetryAfter});
 }
 
 void Intake::Settle(const EntryPtr& entry, const SubmitResult& result) {
--- a/packages/jobs/src/intake.h
+++ b/packages/jobs/src/intake.h
@@ -97,7 +97,7 @@
   std::optional<std::string> NextHelper(const EntryPtr& entry);
   void LeaveOut(const std::string& helper);
   void CreateAt(const std::string& helper, const EntryPtr& entry);
-  void OnHelper(const EntryPtr& entry, const Result<CreateEnd>& end);
+  void OnHelper(const EntryPtr& entry, const Result<CreateOutcome>& end);
   void HedgeLater(const EntryPtr& entry);
   /// @param revision of the key, if it is known
   void Accept(const EntryPtr& entry, std::string_view how,
--- a/packages/jobs/src/job_gate.cc
+++ b/packages/jobs/src/job_gate.cc
@@ -24,7 +24,7 @@
 }
 
 SubmitResult Unanswered() {
-  return {.end = SubmitEnd::kUnknown,
+  return {.end = SubmitOutcome::kUnknown,
           .reason = Error::kDeadlineExceeded,
           .detail = {},
           .retry_after = Duration::zero()};
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -20,21 +20,21 @@
 namespace {
 
 SubmitResult CancelRefused() {
-  return {.end = SubmitEnd::kNotAccepted,
+  return {.end = SubmitOutcome::kNotAccepted,
           .reason = Error::kStoreUnavailable,
           .detail = {},
           .retry_after = kStoreRetry};
 }
 
 SubmitResult NoSuchJob() {
-  return {.end = SubmitEnd::kNoSuchJob,
+  return {.end = SubmitOutcome::kNoSuchJob,
           .reason = Error::kUnknownJob,
           .detail = {},
           .retry_after = Duration::zero()};
 }
 
 SubmitResult CancelAccepted() {
-  return {.end = SubmitEnd::kAccepted,
+  return {.end = SubmitOutcome::kAccepted,
           .reason = {},
           .detail = {},
           .retry_after = Duration::zero()};
@@ -362,13 +362,13 @@
 }
 
 void JobNode::OnCreate(CreateRequest request,
-                       JobPeerHandler::Done<CreateEnd> done) {
+                       JobPeerHandler::Done<CreateOutcome> done) {
   this->state->intake.CreateForPeer(
       std::move(request), [done = std::move(done)](const SubmitResult& result) {
-        const bool refused = result.end == SubmitEnd::kNotAccepted;
-        done(result.end == SubmitEnd::kAccepted ? CreateEnd::kExists
-             : refused                          ? CreateEnd::kNotDone
-                                                : CreateEnd::kUncertain);
+        const bool refused = result.end == SubmitOutcome::kNotAccepted;
+        done(result.end == SubmitOutcome::kAccepted ? CreateOutcome::kExists
+             : refused                              ? CreateOutcome::kNotDone
+                       : CreateOutcome::kUncertain);
       });
 }
 
--- a/packages/jobs/tests/cell_basic_test.cc
+++ b/packages/jobs/tests/cell_basic_test.cc
@@ -51,12 +51,11 @@
   int accepted = 0;
   const auto again = [&](std::size_t process) {
     cell->ProcessAt(process)->Post([&cell, &accepted, job, process] {
-      cell->NodeAt(process)->Submit(job->job.queue, job->job.id, job->job.spec,
-                                    seconds(3),
-                                    [&accepted](const SubmitResult& result) {
-                                      if (result.end == SubmitEnd::kAccepted)
-                                        ++accepted;
-                                    });
+      cell->NodeAt(process)->Submit(
+          job->job.queue, job->job.id, job->job.spec, seconds(3),
+          [&accepted](const SubmitResult& result) {
+            if (result.end == SubmitOutcome::kAccepted) ++accepted;
+          });
     });
   };
   again(1);
--- a/packages/jobs/tests/cell_ended_test.cc
+++ b/packages/jobs/tests/cell_ended_test.cc
@@ -92,7 +92,7 @@
   });
   cell->Time().RunFor(seconds(5));
   BOOST_REQUIRE(result.has_value());
-  BOOST_TEST((result->end == SubmitEnd::kAccepted));
+  BOOST_TEST((result->end == SubmitOutcome::kAccepted));
   BOOST_TEST((cell->Ask(job->job.id, owner) == JobState::kCompleted));
   BOOST_TEST(cell->Judge().Runs() == 1);
 }
--- a/packages/jobs/tests/cell_takeover_test.cc
+++ b/packages/jobs/tests/cell_takeover_test.cc
@@ -318,7 +318,7 @@
   });
   cell->Time().RunUntil([&] { return result.has_value(); }, seconds(4));
   BOOST_REQUIRE(result.has_value());
-  BOOST_TEST((result->end == SubmitEnd::kNotAccepted));
+  BOOST_TEST((result->end == SubmitOutcome::kNotAccepted));
   BOOST_TEST((cell->Time().Now() - begun < milliseconds(300)));
   cell->Store().refusing = false;
   cell->Time().RunFor(seconds(5));
@@ -342,8 +342,8 @@
           cell->queue, JobId("caller" + std::to_string(i)),
           MakeSpec({MakeStep(1, 1000, seconds(1))}), seconds(3),
           [&](const SubmitResult& result) {
-            refused += result.end == SubmitEnd::kNotAccepted ? 1 : 0;
-            unknown += result.end == SubmitEnd::kUnknown ? 1 : 0;
+            refused += result.end == SubmitOutcome::kNotAccepted ? 1 : 0;
+            unknown += result.end == SubmitOutcome::kUnknown ? 1 : 0;
           });
     });
     cell->Time().RunFor(milliseconds(20));
@@ -373,7 +373,7 @@
           cell->queue, JobId("caller" + std::to_string(i)),
           MakeSpec({MakeStep(1, 1000, seconds(1))}), seconds(3),
           [&](const SubmitResult& result) {
-            refused += result.end == SubmitEnd::kNotAccepted ? 1 : 0;
+            refused += result.end == SubmitOutcome::kNotAccepted ? 1 : 0;
             last = cell->Time().Now();
           });
     });
--- a/packages/peer/include/mustardproxy/peer/job_link.h
+++ b/packages/peer/include/mustardproxy/peer/job_link.h
@@ -36,7 +36,7 @@
   void QueryPending(const std::string& address, const jobs::QueueName& queue,
                     Done<std::int64_t> done) override;
   void Create(const std::string& address, const jobs::CreateRequest& request,
-              Done<jobs::CreateEnd> done) override;
+              Done<jobs::CreateOutcome> done) override;
   void Ask(const std::string& address, const jobs::AdviceQuestion& question,
            Done<jobs::Advice> done) override;
 
--- a/packages/peer/src/job_link.cc
+++ b/packages/peer/src/job_link.cc
@@ -231,7 +231,7 @@
 
 void JobLink::Create(const std::string& address,
                      const jobs::CreateRequest& request,
-                     Done<jobs::CreateEnd> done) {
+                     Done<jobs::CreateOutcome> done) {
   peer::jobs::CreateRequest wire;
   wire.set_kind(request.kind);
   wire.set_job(request.job.Text());
@@ -245,7 +245,7 @@
           done(reply.error());
           return;
         }
-        done(static_cast<jobs::CreateEnd>(reply.value().end()));
+        done(static_cast<jobs::CreateOutcome>(reply.value().end()));
       });
 }
 
--- a/packages/peer/src/job_service.cc
+++ b/packages/peer/src/job_service.cc
@@ -105,7 +105,7 @@
   this->executor->Post(
       [handler = this->handler, wanted = std::move(wanted), call]() mutable {
         handler->OnCreate(
-            std::move(wanted), [call](const Result<jobs::CreateEnd>& end) {
+            std::move(wanted), [call](const Result<jobs::CreateOutcome>& end) {
               if (!end) {
                 call->Refuse(Refusal(end.error()));
                 return;
--- a/packages/peer/tests/job_link_test.cc
+++ b/packages/peer/tests/job_link_test.cc
@@ -35,9 +35,9 @@
     done(12);
   }
   void OnCreate(jobs::CreateRequest request,
-                Done<jobs::CreateEnd> done) override {
-    done(request.key == "taken" ? jobs::CreateEnd::kExists
-                                : jobs::CreateEnd::kNotDone);
+                Done<jobs::CreateOutcome> done) override {
+    done(request.key == "taken" ? jobs::CreateOutcome::kExists
+                                : jobs::CreateOutcome::kNotDone);
   }
   void OnAsk(jobs::AdviceQuestion question, Done<jobs::Advice> done) override {
     jobs::Advice advice;
@@ -125,15 +125,15 @@
 
 BOOST_AUTO_TEST_CASE(a_key_is_created_on_behalf_of_another) {
   const auto create = [&](const char* key) {
-    return Await<jobs::CreateEnd>([&](auto done) {
+    return Await<jobs::CreateOutcome>([&](auto done) {
       client.Create(
           address,
           {"job", jobs::JobId("j"), key, "value", std::chrono::seconds(5)},
           std::move(done));
     });
   };
-  BOOST_TEST((create("taken").value() == jobs::CreateEnd::kExists));
-  BOOST_TEST((create("other").value() == jobs::CreateEnd::kNotDone));
+  BOOST_TEST((create("taken").value() == jobs::CreateOutcome::kExists));
+  BOOST_TEST((create("other").value() == jobs::CreateOutcome::kNotDone));
 }
 
 BOOST_AUTO_TEST_CASE(a_process_that_is_gone_is_an_error_soon) {
--- a/testing/job_sim/include/job_sim/fake_jobs.h
+++ b/testing/job_sim/include/job_sim/fake_jobs.h
@@ -50,7 +50,7 @@
   static constexpr std::int64_t kPending = 12;
   std::shared_ptr<mustardproxy::jobs::DesiredState> desired;
   SubmitResult submit{
-      mustardproxy::jobs::SubmitEnd::kAccepted, {}, {}, Duration(0)};
+      mustardproxy::jobs::SubmitOutcome::kAccepted, {}, {}, Duration(0)};
   mustardproxy::Result<JobStatus> state = JobStatus{JobState::kRunning, {}};
   JobId last;
   mustardproxy::jobs::JobSpec spec;
--- a/testing/job_sim/src/sim_cell.cc
+++ b/testing/job_sim/src/sim_cell.cc
@@ -140,9 +140,9 @@
     });
   }
   void Create(const std::string& address, const jobs::CreateRequest& request,
-              Done<jobs::CreateEnd> done) override {
+              Done<jobs::CreateOutcome> done) override {
     const auto answer =
-        this->Once<jobs::CreateEnd>(std::move(done), request.timeout);
+        this->Once<jobs::CreateOutcome>(std::move(done), request.timeout);
     this->Reach(address, [request, answer](jobs::JobNode* node) {
       node->OnCreate(request, answer);
     });
@@ -499,7 +499,7 @@
   slot->process.Post([slot, entry, id] {
     slot->node->Submit(entry->job.queue, id, entry->job.spec, kCallerTimeout,
                        [entry](const jobs::SubmitResult& result) {
-                         if (result.end == jobs::SubmitEnd::kAccepted) {
+                         if (result.end == jobs::SubmitOutcome::kAccepted) {
                            entry->accepted = true;
                          }
                        });
@@ -522,7 +522,8 @@
   slot->process.Post([this, slot, entry, id] {
     slot->node->Cancel(id, kCallerTimeout,
                        [this, entry](const jobs::SubmitResult& result) {
-                         if (result.end != jobs::SubmitEnd::kAccepted) return;
+                         if (result.end != jobs::SubmitOutcome::kAccepted)
+                           return;
                          if (std::exchange(entry->cancelled, true)) return;
                          entry->cancelled_at = this->time.Now();
                        });
