--- a/apps/mustardproxy/tests/thread_executor_test.cc
+++ b/apps/mustardproxy/tests/thread_executor_test.cc
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <string>
 
-#include "mustardproxy/jobs/awaited.h"
+#include "mustardproxy/jobs/waitable_value.h"
 
 namespace mustardproxy::testing {
 namespace {
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_CASE(tasks_run_in_the_order_in_which_they_were_posted) {
   ThreadExecutor executor;
-  jobs::Awaited<std::string> whole;
+  jobs::WaitableValue<std::string> whole;
   std::string order;
   for (const char* letter : {"a", "b", "c"}) {
     executor.Post([&order, letter] { order += letter; });
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_CASE(timers_run_by_time_and_not_once_cancelled) {
   ThreadExecutor executor;
-  jobs::Awaited<std::string> whole;
+  jobs::WaitableValue<std::string> whole;
   std::string order;
   executor.Post([&] {
     executor.After(milliseconds(60), [&] { whole.Set(order); });
--- a/packages/jobs/include/mustardproxy/jobs/awaited.h
+++ b/packages/jobs/include/mustardproxy/jobs/waitable_value.h
@@ -1,5 +1,5 @@
-#ifndef MUSTARDPROXY_JOBS_AWAITED_H_
-#define MUSTARDPROXY_JOBS_AWAITED_H_
+#ifndef MUSTARDPROXY_JOBS_WAITABLE_VALUE_H_
+#define MUSTARDPROXY_JOBS_WAITABLE_VALUE_H_
 
 #include <condition_variable>
 #include <mutex>
@@ -12,7 +12,7 @@
 
 /// A value that a traffic thread waits for and the control thread sets.
 template <typename T>
-class Awaited {
+class WaitableValue {
  public:
   /// Later values than the first are dropped.
   void Set(T value) {
@@ -37,4 +37,4 @@
 
 }  // namespace mustardproxy::jobs
 
-#endif  // MUSTARDPROXY_JOBS_AWAITED_H_
+#endif  // MUSTARDPROXY_JOBS_WAITABLE_VALUE_H_
--- a/packages/jobs/src/job_gate.cc
+++ b/packages/jobs/src/job_gate.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "mustardproxy/core/error.h"
-#include "mustardproxy/jobs/awaited.h"
+#include "mustardproxy/jobs/waitable_value.h"
 
 namespace mustardproxy::jobs {
 namespace {
@@ -16,7 +16,7 @@
 template <typename T>
 std::optional<T> Await(Executor* executor, Duration timeout,
                        std::function<void(std::function<void(T)>)> call) {
-  auto awaited = std::make_shared<Awaited<T>>();
+  auto awaited = std::make_shared<WaitableValue<T>>();
   executor->Post([call = std::move(call), awaited] {
     call([awaited](T value) { awaited->Set(std::move(value)); });
   });
--- a/packages/peer/tests/job_link_test.cc
+++ b/packages/peer/tests/job_link_test.cc
@@ -9,7 +9,7 @@
 
 #include "job_sim/immediate_executor.h"
 #include "mustardproxy/core/error.h"
-#include "mustardproxy/jobs/awaited.h"
+#include "mustardproxy/jobs/waitable_value.h"
 
 namespace mustardproxy::testing {
 namespace {
@@ -49,8 +49,8 @@
   }
 
   bool owns = true;
-  jobs::Awaited<jobs::AnnouncedJob> announced;
-  jobs::Awaited<jobs::JobId> cancelled;
+  jobs::WaitableValue<jobs::AnnouncedJob> announced;
+  jobs::WaitableValue<jobs::JobId> cancelled;
 };
 
 struct Fixture {
@@ -62,7 +62,7 @@
   template <typename T>
   Result<T> Await(
       const std::function<void(std::function<void(Result<T>)>)>& call) {
-    auto awaited = std::make_shared<jobs::Awaited<Result<T>>>();
+    auto awaited = std::make_shared<jobs::WaitableValue<Result<T>>>();
     call([awaited](const Result<T>& value) { awaited->Set(value); });
     auto value = awaited->Wait(std::chrono::seconds(20));
     BOOST_REQUIRE(value.has_value());
