--- a/packages/jobs/tests/cell_basic_test.cc
+++ b/packages/jobs/tests/cell_basic_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <set>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 #include "mustardproxy/core/error.h"
 
@@ -28,7 +28,7 @@
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(10)));
   BOOST_TEST((cell->Ask(job->job.id, 1) == JobState::kCompleted));
   BOOST_TEST(cell->Judge().Runs() == 9);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(every_process_tells_the_state_of_every_job) {
@@ -65,7 +65,7 @@
   cell->Time().RunFor(seconds(3));
   BOOST_TEST(accepted == 3);
   BOOST_TEST(cell->Judge().Runs() == 2);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_job_that_always_fails_ends_after_its_attempts) {
@@ -75,7 +75,7 @@
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(10)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
   BOOST_TEST(cell->Judge().Runs() == 3);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_cancelled_job_stops_and_stays_cancelled) {
@@ -91,7 +91,7 @@
   BOOST_TEST((cell->Ask(job->job.id, 2) == JobState::kCancelled));
   // A late copy of the request that handed it in changes nothing.
   cell->Submit(job->job.spec, 0);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_runs_whole) {
@@ -101,7 +101,7 @@
   SimJob* job = cell->Submit(spec);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(10)));
   BOOST_TEST(cell->Judge().Runs() == 10);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Small tasks keep all workers busy, and more come all the time. A gang that
@@ -120,7 +120,7 @@
   spec.steps[0].gang = true;
   SimJob* gang = cell->Submit(spec);
   BOOST_TEST(cell->AwaitFinal(gang->job.id, seconds(12)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(only_permitted_workers_get_tasks) {
@@ -129,7 +129,7 @@
   SimJob* job = cell->Submit(MakeSpec({MakeStep(6, 4000, seconds(1))}));
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(15)));
   BOOST_TEST(cell->Log().Count("permissions") >= 1U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_draining_worker_gets_nothing_new) {
@@ -164,7 +164,7 @@
   }
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() < 40 + 15);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A worker fails what it runs. A task that failed there is tried elsewhere, so
--- a/packages/jobs/tests/cell_capacity_test.cc
+++ b/packages/jobs/tests/cell_capacity_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -39,7 +39,7 @@
   BOOST_TEST(cell->Workers().Find("w0")->RunningCount() == 0U);
   cell->ResizeWorker(worker, kWhole);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against placing by what a worker had, or not using what it has again.
@@ -57,7 +57,7 @@
   cell->ResizeWorker(worker, kWhole);
   BOOST_TEST(cell->AwaitFinal(later->job.id, seconds(3)));
   cell->Settle(seconds(20));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_crash_test.cc
+++ b/packages/jobs/tests/cell_crash_test.cc
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -40,7 +40,7 @@
   BOOST_TEST((status->state == JobState::kFailed));
   BOOST_TEST(status->cause.find("workers were lost under task job0.0.0.0") !=
              std::string::npos);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The same for a crash some time after the worker has answered.
@@ -50,7 +50,7 @@
                                {.after = milliseconds(1200)});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against an owner that does not know what former owners have seen.
@@ -68,7 +68,7 @@
   }
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against a moment at which a change of owner forgets what was seen.
@@ -83,7 +83,7 @@
     BOOST_TEST_CONTEXT("after " << moment.count() << " ms") {
       BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
       BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-      CheckKept(cell.get());
+      CheckInvariants(cell.get());
     }
   }
 }
@@ -105,7 +105,7 @@
   for (const SimJob* job : sound) {
     BOOST_TEST((cell->Ask(job->job.id) == JobState::kCompleted));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against a gang that is started anew whenever one member has taken its
@@ -117,7 +117,7 @@
   SimJob* job = SubmitCrashing(cell.get(), step, {.index = 2});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against trying all tasks of a wide step at once when each of them
@@ -129,7 +129,7 @@
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(40)));
   // Each worker once, and two more under the task that is tried.
   BOOST_TEST(cell->Judge().TaskCrashes() <= kWorkers + 2);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against other tasks that go down with a suspicious one.
@@ -148,7 +148,7 @@
   cell->Settle(seconds(60));
   BOOST_TEST(cell->Judge().GivenUpWrongly() == 0U);
   BOOST_TEST(cell->Judge().TaskCrashes() == 3);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against taking a worker that was only cut off for one that crashed.
@@ -167,7 +167,7 @@
   }
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kCompleted));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against a service that is given up because hosts fail in its life.
@@ -185,7 +185,7 @@
   }
   cell->Time().RunFor(seconds(10));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kRunning));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_ended_test.cc
+++ b/packages/jobs/tests/cell_ended_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 #include "keys.h"
 #include "record_codec.h"
@@ -76,7 +76,7 @@
                         seconds(20));
   BOOST_TEST((LastReading() < milliseconds(300)));
   cell->Store().latency = milliseconds(4);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A job has ended under a former owner, and its caller hands it in once more.
@@ -175,7 +175,7 @@
   cell->Workers().late_orders = 0;
   SimJob* next = cell->Submit(MakeSpec({MakeStep(1, 4000, seconds(1))}));
   BOOST_TEST(cell->AwaitFinal(next->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_gang_test.cc
+++ b/packages/jobs/tests/cell_gang_test.cc
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -73,7 +73,7 @@
                                 MakeGang(14, 4000, milliseconds(800)), 0);
   BOOST_TEST(cell->AwaitFinal(gang->job.id, seconds(8)));
   BOOST_TEST(CountQuestions(cell.get(), *gang) <= 2);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A gang can't be done in time any more, its permissions have lapsed, and then
@@ -89,7 +89,7 @@
                                 MakeGang(14, 4000, milliseconds(800)), 0);
   cell->Time().RunFor(seconds(6));
   BOOST_TEST(cell->AwaitFinal(gang->job.id, seconds(4)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A gang is placed, and the store answers late, or not for some seconds, before
@@ -104,7 +104,7 @@
   cell->Store().latency = milliseconds(450);
   BOOST_TEST(cell->AwaitFinal(gang->job.id, seconds(6)));
   BOOST_TEST(cell->Log().Count("start-not-done") == 0U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A gang's start gets no answer while its owner is cut off from the workers,
@@ -125,7 +125,7 @@
   BOOST_TEST(cell->Log().Count("step-placed") == 1U);
   cell->ProcessAt(0)->workers_cut = false;
   BOOST_TEST(cell->AwaitFinal(gang->job.id, seconds(15)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_proposal_test.cc
+++ b/packages/jobs/tests/cell_proposal_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <optional>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 #include "keys.h"
 #include "record_codec.h"
@@ -64,7 +64,7 @@
     cell->Time().RunFor(milliseconds(5));
   }
   BOOST_TEST((cell->Time().Now() - begun < milliseconds(1600)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A job is proposed to the owner, and the write that was to store it fails. Its
--- a/packages/jobs/tests/cell_restart_test.cc
+++ b/packages/jobs/tests/cell_restart_test.cc
@@ -2,7 +2,7 @@
 #include <optional>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -57,7 +57,7 @@
       cell->Submit(MakeSpec({MakeStep(4, 4000, milliseconds(1500))}));
   BOOST_TEST(Completes(cell.get(), *job, seconds(10)));
   cell->Time().RunFor(seconds(10));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
   BOOST_TEST(cell->Judge().Runs() == 28);
 }
 
@@ -74,7 +74,7 @@
   const SimJob* after = cell->Submit(MakeSpec({MakeStep(2, 4000, seconds(8))}));
   BOOST_TEST(Completes(cell.get(), *before, seconds(15)));
   BOOST_TEST(Completes(cell.get(), *after, seconds(15)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
   for (const std::string& line : cell->Log().Lines()) {
     BOOST_TEST(line.find("reason=lease-lapsed") == std::string::npos, line);
   }
@@ -100,7 +100,7 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(30)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against a bound on crashes that counts each id once.
@@ -110,7 +110,7 @@
   job->crashing = job_sim::CrashingTasks{};
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against sound jobs that are given up, or kept waiting as suspicious,
@@ -134,7 +134,7 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(30)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against a start that the former life left unanswered and the new one
@@ -152,7 +152,7 @@
     cell->Time().RunFor(milliseconds(600));
     cell->Workers().late_orders = 0;
     BOOST_TEST(Completes(cell.get(), *job, seconds(60)));
-    CheckKept(cell.get());
+    CheckInvariants(cell.get());
   }
 }
 
@@ -174,7 +174,7 @@
     cell->StartProcess(*owner);
     BOOST_TEST(Completes(cell.get(), *job, seconds(40)));
     cell->Time().RunFor(seconds(5));
-    CheckKept(cell.get());
+    CheckInvariants(cell.get());
   }
 }
 
@@ -195,7 +195,7 @@
     BOOST_TEST(Completes(cell.get(), *wide, seconds(40)));
     BOOST_TEST(Completes(cell.get(), *narrow, seconds(40)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against a worker of another size that is given what fitted its former
@@ -212,7 +212,7 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(60)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against an entry that tells no birth and is not served any more.
@@ -228,7 +228,7 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(40)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_takeover_test.cc
+++ b/packages/jobs/tests/cell_takeover_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <optional>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -61,7 +61,7 @@
   BOOST_TEST((AwaitNextOwner(owner) < seconds(3)));
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The owner's process dies and is started again at once. Its former run is over
@@ -79,7 +79,7 @@
   BOOST_TEST((cell->Time().Now() - begun < milliseconds(400)));
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // An owner is told to stop. The next one decides within a second, and no lease
@@ -92,7 +92,7 @@
   BOOST_TEST((AwaitNextOwner(owner) < seconds(1)));
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // An owner is told to stop while the store takes 0.25 s an answer. With its
@@ -114,7 +114,7 @@
   cell->Store().latency = milliseconds(4);
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Owner and successor are told to stop at the same moment. The one that is left
@@ -129,7 +129,7 @@
   BOOST_TEST(Owner() == (owner + 2) % 3);
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The owner stands still for longer than its lease; another one takes over.
@@ -144,7 +144,7 @@
   cell->ProcessAt(owner)->Resume();
   Load(4, seconds(1));
   cell->Settle(seconds(40));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The store is silent for everybody for longer than all leases there last.
@@ -157,7 +157,7 @@
   cell->Store().silent = false;
   cell->Settle(seconds(30));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The store takes all leases away at once while everything is well. The group
@@ -170,7 +170,7 @@
   BOOST_TEST(cell->OwnerIndex().has_value());
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() == 24);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The owner alone can't reach the store. Another one takes over; the workers
@@ -185,7 +185,7 @@
   cell->Time().RunFor(seconds(4));
   cell->ProcessAt(owner)->store_cut = false;
   cell->Settle(seconds(30));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Every process dies right after a job was accepted. It is still done.
@@ -196,7 +196,7 @@
   cell->Time().RunFor(seconds(3));
   for (std::size_t i = 0; i < 3; ++i) cell->StartProcess(i);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The answers to the store's writes are lost, and some writes are done seconds
@@ -211,7 +211,7 @@
   cell->Store().lost_answers = 0;
   cell->Store().late_writes = 0;
   cell->Settle(seconds(40));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The store forgets its history while workers come and go: a watch that goes on
@@ -225,7 +225,7 @@
   cell->Time().RunFor(seconds(2));
   BOOST_TEST(added->RunningCount() > 0U);
   cell->Settle(seconds(30));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // An owner is cut off from the store; jobs are accepted elsewhere, of which it
@@ -275,7 +275,7 @@
   BOOST_TEST(count->value() == kJobs);
   cell->Workers().cut.clear();
   cell->Settle(seconds(60));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The store turns one process away and serves the others. What callers hand in
--- a/packages/jobs/tests/cell_worker_test.cc
+++ b/packages/jobs/tests/cell_worker_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -27,7 +27,7 @@
   cell->Time().RunFor(seconds(1));
   cell->CrashWorker(cell->Workers().Find("w0"), std::nullopt);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A worker has run nothing for a while, so its lease has lapsed. A task is
@@ -41,7 +41,7 @@
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 3000, seconds(1))}));
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
   BOOST_TEST(cell->Log().Count("worker-lost") == 0U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A worker crashes and comes back at once at the same address. Its next life
@@ -53,7 +53,7 @@
   cell->CrashWorker(cell->Workers().Find("w0"), milliseconds(300));
   cell->CrashWorker(cell->Workers().Find("w1"), milliseconds(300));
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(6)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A worker is cut off from everybody and runs on. Its tasks start elsewhere
@@ -67,7 +67,7 @@
   cell->Time().RunFor(seconds(9));
   cell->Workers().cut.clear();
   cell->Settle(seconds(30));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A twentieth of the orders gets no answer and is carried out seconds later,
@@ -88,7 +88,7 @@
   cell->Workers().late_orders = 0;
   cell->Time().RunFor(seconds(13));
   cell->Settle(seconds(60));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // The members of a gang end well. The first end is being stored when the store
@@ -108,7 +108,7 @@
   cell->Store().silent = false;
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
   BOOST_TEST(cell->Judge().Runs() == 8);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // A task is stopped on its way and goes on elsewhere from its checkpoint.
@@ -146,7 +146,7 @@
   cell->Submit(MakeSpec({MakeStep(8, 4000, seconds(5))}));
   cell->Time().RunFor(seconds(1));
   BOOST_TEST(broken->RunningCount() == 4U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Guards against sending a start again as fast as it is turned down.
@@ -160,7 +160,7 @@
   BOOST_TEST(cell->Log().Count("start-not-done") < kMostTries);
   worker->refuses_all = false;
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(5)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/check_kept.h
+++ b/packages/jobs/tests/check_invariants.h
@@ -1,5 +1,5 @@
-#ifndef MUSTARDPROXY_JOBS_TESTS_CHECK_KEPT_H_
-#define MUSTARDPROXY_JOBS_TESTS_CHECK_KEPT_H_
+#ifndef MUSTARDPROXY_JOBS_TESTS_CHECK_INVARIANTS_H_
+#define MUSTARDPROXY_JOBS_TESTS_CHECK_INVARIANTS_H_
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -9,10 +9,10 @@
 namespace mustardproxy::jobs {
 
 /// Fails the test for each promise of the cell that was broken.
-inline void CheckKept(job_sim::SimCell* cell) {
+inline void CheckInvariants(job_sim::SimCell* cell) {
   for (const std::string& line : cell->Judge().Broken()) BOOST_TEST_ERROR(line);
 }
 
 }  // namespace mustardproxy::jobs
 
-#endif  // MUSTARDPROXY_JOBS_TESTS_CHECK_KEPT_H_
+#endif  // MUSTARDPROXY_JOBS_TESTS_CHECK_INVARIANTS_H_
--- a/packages/jobs/tests/wait_report_test.cc
+++ b/packages/jobs/tests/wait_report_test.cc
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -97,7 +97,7 @@
   cell->Submit(spec);
   cell->Time().RunFor(seconds(5));
   BOOST_TEST(CountReason(cell.get(), "room") == 2U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 // Thousands of jobs that nobody can run must not fill the log.
