--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -78,7 +78,7 @@
 Dispatcher::Dispatcher(OwnerContext* context)
     : context(context), waits(context->log, context->metrics) {}
 
-void Dispatcher::Kick() {
+void Dispatcher::SchedulePass() {
   if (std::exchange(this->kicked, true)) return;
   const Instant now = this->context->executor->Now();
   const Duration delay =
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -31,7 +31,7 @@
   explicit Dispatcher(OwnerContext* context);
 
   /// Has a pass made soon.
-  void Kick();
+  void SchedulePass();
   /// Workers to ask the policy service about for a step.
   [[nodiscard]] std::vector<AskedWorker> ChooseForAdvice(const StepRef& ref);
 
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -74,7 +74,7 @@
       },
       [this](const StepRef& step) {
         this->reservations->OnAnswer(step);
-        this->dispatcher->Kick();
+        this->dispatcher->SchedulePass();
       });
   this->ended =
       std::make_unique<EndedJobs>(EndedJobs::Parts{.executor = shared.executor,
@@ -125,7 +125,7 @@
 
 void GroupOwner::SetDesired(std::shared_ptr<const DesiredState> desired) {
   this->context.SetDesired(std::move(desired));
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
 void GroupOwner::SetLanes(const std::vector<AdviceLane>& lanes) {
@@ -204,7 +204,7 @@
                             {"queue", entry->job.queue.name.Text()},
                             {"steps", entry->job.spec.steps.size()}});
   if (this->cancelled_early.erase(id) > 0) this->OnCancel(id);
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
   return entry;
 }
 
@@ -215,7 +215,7 @@
       {{"job", entry->job.id.Text()}, {"starts", entry->on_stored.size()}});
   this->context.jobs.Resume(entry);
   for (const auto& start : std::exchange(entry->on_stored, {})) start();
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
 void GroupOwner::ParkUnlessStored(const JobId& id) {
@@ -241,7 +241,7 @@
   entry->shown = JobState::kCancelled;
   this->context.log->Write("jobs", "job-cancelled", {{"job", id.Text()}});
   this->runs->StoreFinal(entry);
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
 void GroupOwner::OnWorker(const StoreEvent& event) {
@@ -298,7 +298,7 @@
   session->listed = true;
   if (session->Overcommitted()) this->runs->WithdrawPlanned(session);
   if (this->loaded) this->holds->Pump(session);
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
 void GroupOwner::ClaimProgress(JobEntry* entry) {
@@ -333,7 +333,7 @@
   this->context.metrics->Sample("takeover_read_us", "",
                                 static_cast<double>(took.count()));
   this->holds->PumpAll();
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
   this->ended->Read();
 }
 
@@ -411,7 +411,7 @@
     this->ended->ForgetOld();
     this->stored->ForgetUnclaimed();
     this->ForgetParked();
-    this->dispatcher->Kick();
+    this->dispatcher->SchedulePass();
     this->Publish();
   }
   this->context.executor->After(kTick,
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -167,7 +167,7 @@
                                {"token", session->token},
                                {"running", result.running.size()},
                                {"ended", result.ended.size()}});
-    this->context->dispatcher->Kick();
+    this->context->dispatcher->SchedulePass();
   }
   this->ReadRunning(session, result);
   this->DropUnlisted(session, asked, result);
@@ -192,7 +192,7 @@
            {"run", listed.run.run},
            {"worker", Text(session->Incarnation())},
            {"survived_ms", WholeMilliseconds(record->Survived())}});
-      this->context->dispatcher->Kick();
+      this->context->dispatcher->SchedulePass();
     }
     if (record->percent != listed.percent) {
       record->percent = listed.percent;
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -139,7 +139,7 @@
   for (const auto& [run, record] : left) {
     this->context->runs->BlockStart(next, run, record);
   }
-  this->context->dispatcher->Kick();
+  this->context->dispatcher->SchedulePass();
   return next;
 }
 
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -325,7 +325,7 @@
   }
   this->context->jobs.Withdraw(run);
   this->StopGang(run);
-  this->context->dispatcher->Kick();
+  this->context->dispatcher->SchedulePass();
 }
 
 void RunControl::StopGang(const RunRef& member) {
@@ -348,7 +348,7 @@
   if (record->phase == RunPhase::kPlanned) {
     session->RemoveRun(run);
     this->context->jobs.Withdraw(run);
-    this->context->dispatcher->Kick();
+    this->context->dispatcher->SchedulePass();
     return;
   }
   this->SendStop(session->Incarnation(), run);
@@ -449,7 +449,7 @@
   if (waits) {
     this->context->writer->Write(run.task.step.job, std::move(durable));
   }
-  this->context->dispatcher->Kick();
+  this->context->dispatcher->SchedulePass();
   return waits;
 }
 
