--- a/packages/jobs/src/guard.h
+++ b/packages/jobs/src/callback_guard.h
@@ -1,5 +1,5 @@
-#ifndef MUSTARDPROXY_JOBS_GUARD_H_
-#define MUSTARDPROXY_JOBS_GUARD_H_
+#ifndef MUSTARDPROXY_JOBS_CALLBACK_GUARD_H_
+#define MUSTARDPROXY_JOBS_CALLBACK_GUARD_H_
 
 #include <memory>
 #include <utility>
@@ -11,7 +11,7 @@
 ///
 /// Failure guarded against: an owner steps down while its calls are under way;
 /// their answers would reach freed memory.
-class Guard {
+class CallbackGuard {
  public:
   template <typename Function>
   [[nodiscard]] auto Wrap(Function function) const {
@@ -28,4 +28,4 @@
 
 }  // namespace mustardproxy::jobs
 
-#endif  // MUSTARDPROXY_JOBS_GUARD_H_
+#endif  // MUSTARDPROXY_JOBS_CALLBACK_GUARD_H_
--- a/packages/jobs/src/cell_member.h
+++ b/packages/jobs/src/cell_member.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string_view>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/key_value_store.h"
 #include "mustardproxy/jobs/worker_driver.h"
@@ -121,7 +121,7 @@
   /// The store has not granted a lease since this process has none.
   bool grant_failing = false;
   bool leaving = false;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "owner_context.h"
 #include "pass_rooms.h"
 #include "permission_broker.h"
@@ -106,7 +106,7 @@
   /// In this pass: a worker that runs something does not answer.
   bool any_silent = false;
   Instant last_pass;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/ended_jobs.h
+++ b/packages/jobs/src/ended_jobs.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/core/time.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/job.h"
@@ -58,7 +58,7 @@
   /// In the order in which they were noted.
   std::deque<Ended> order;
   bool removing = false;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/group_owner.h
+++ b/packages/jobs/src/group_owner.h
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
+#include "callback_guard.h"
 #include "dispatcher.h"
 #include "ended_jobs.h"
 #include "gang_reservations.h"
-#include "guard.h"
 #include "hold_loop.h"
 #include "incarnation_tracker.h"
 #include "mustardproxy/jobs/job_peers.h"
@@ -119,7 +119,7 @@
   std::unique_ptr<Dispatcher> dispatcher;
   std::unique_ptr<PrefixMirror> intake;
   std::unique_ptr<PrefixMirror> workers;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/hold_loop.h
+++ b/packages/jobs/src/hold_loop.h
@@ -1,7 +1,7 @@
 #ifndef MUSTARDPROXY_JOBS_HOLD_LOOP_H_
 #define MUSTARDPROXY_JOBS_HOLD_LOOP_H_
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/core/ids.h"
 #include "owner_context.h"
 
@@ -42,7 +42,7 @@
   void OnStored(const WorkerIncarnation& worker);
 
   OwnerContext* context;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/intake.h
+++ b/packages/jobs/src/intake.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/job.h"
 #include "mustardproxy/jobs/job_peers.h"
@@ -114,7 +114,7 @@
   bool holding = false;
   /// Until when helpers are left out that did not answer.
   std::map<std::string, Instant> lost_helpers;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/job_lookup.h
+++ b/packages/jobs/src/job_lookup.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/core/result.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/job.h"
@@ -47,7 +47,7 @@
 
   Executor* executor;
   KeyValueStore* store;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -5,9 +5,9 @@
 #include <utility>
 #include <vector>
 
+#include "callback_guard.h"
 #include "cell_member.h"
 #include "group_owner.h"
-#include "guard.h"
 #include "intake.h"
 #include "job_lookup.h"
 #include "keys.h"
@@ -73,7 +73,7 @@
   std::size_t next_helper = 0;
   bool stepping_down = false;
   bool leaving = false;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 JobNode::Internals::Internals(const Builder& parts)
--- a/packages/jobs/src/permission_broker.h
+++ b/packages/jobs/src/permission_broker.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/core/ids.h"
 #include "mustardproxy/core/time.h"
 #include "mustardproxy/jobs/executor.h"
@@ -149,7 +149,7 @@
   std::unordered_map<JobId, std::map<StepNumber, StepAdvice>> steps;
   std::map<QueueName, double> permitted_shares;
   ShortLoad short_load;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/prefix_mirror.cc
+++ b/packages/jobs/src/prefix_mirror.cc
@@ -27,7 +27,7 @@
 void PrefixMirror::Refresh() {
   if (this->listing) return;
   // Drops the watch that is under way.
-  this->guard = Guard();
+  this->guard = CallbackGuard();
   this->Start();
 }
 
--- a/packages/jobs/src/prefix_mirror.h
+++ b/packages/jobs/src/prefix_mirror.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <string>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/core/time.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/key_value_store.h"
@@ -69,7 +69,7 @@
   bool listing = false;
   bool reachable = true;
   Instant fresh_at;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/progress_writer.h
+++ b/packages/jobs/src/progress_writer.h
@@ -9,7 +9,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "job_table.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/key_value_store.h"
@@ -92,7 +92,7 @@
   Instant next_write;
   bool timer_set = false;
   bool store_answers = true;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/run_control.h
+++ b/packages/jobs/src/run_control.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "owner_context.h"
 
 namespace mustardproxy::jobs {
@@ -123,7 +123,7 @@
   void Later(Duration delay, std::function<void()> task);
 
   OwnerContext* context;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/stored_progress.h
+++ b/packages/jobs/src/stored_progress.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "guard.h"
+#include "callback_guard.h"
 #include "mustardproxy/core/time.h"
 #include "mustardproxy/jobs/executor.h"
 #include "mustardproxy/jobs/job.h"
@@ -58,7 +58,7 @@
   Instant completed_at;
   /// The last attempt to read has failed, and has been told of.
   bool failing = false;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
