--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -35,7 +35,7 @@
   if (session.info.address.empty()) return false;
   // An entry of a service that operators don't name is no worker of theirs.
   const bool ours =
-      !session.runs.empty() || this->context->Names(session.info.service);
+      !session.runs.empty() || this->context->HasService(session.info.service);
   if (!ours) return false;
   const Instant now = this->context->executor->Now();
   if (now < session.next_hold) return false;
--- a/packages/jobs/src/owner_context.h
+++ b/packages/jobs/src/owner_context.h
@@ -86,7 +86,7 @@
     }
   }
   /// @return true if the desired state names the service
-  [[nodiscard]] bool Names(const ServiceId& service) const {
+  [[nodiscard]] bool HasService(const ServiceId& service) const {
     if (!this->desired) return false;
     const auto& services = this->desired->services;
     return std::any_of(services.begin(), services.end(),
