--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -53,7 +53,7 @@
 
 bool CellMember::StoreAnswers() const {
   return this->lease != 0 && !this->refused &&
-         this->executor->Now() < this->renewed_at + kStoreSilent;
+         this->executor->Now() < this->renewed_at + kStoreSilenceTimeout;
 }
 
 Instant CellMember::StoreAliveAt() const {
@@ -78,7 +78,7 @@
       this->log->Write("cell", "lease-not-granted",
                        {{"reason", granted.error().message()}});
     }
-    this->executor->After(kStoreRetry,
+    this->executor->After(kStoreRetryDelay,
                           this->guard.Wrap([this] { this->Acquire(); }));
     return;
   }
@@ -106,7 +106,7 @@
           this->LoseLease("lapsed before registration");
           return;
         }
-        this->executor->After(kStoreRetry, this->guard.Wrap([this, used] {
+        this->executor->After(kStoreRetryDelay, this->guard.Wrap([this, used] {
           if (used == this->lease && !this->leaving) this->Register();
         }));
       }));
@@ -143,7 +143,7 @@
   }
   // Silence is told by the time since the last renewal.
   const Duration took = this->executor->Now() - asked;
-  if (took < kStoreSilent) this->refused = true;
+  if (took < kStoreSilenceTimeout) this->refused = true;
   if (answer.error() == Error::kUnknownRequest) {
     this->LoseLease("lapsed");
   }
@@ -276,7 +276,7 @@
     case CommitEnd::kNotDone:
       break;
   }
-  this->executor->After(kStoreRetry, this->guard.Wrap([this] {
+  this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
     this->standing = false;
     this->ConsiderElection();
   }));
@@ -294,7 +294,7 @@
           this->Win(item.value().revision);
           return;
         }
-        this->executor->After(kStoreRetry, this->guard.Wrap([this] {
+        this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
           this->ConsiderElection();
         }));
       }));
--- a/packages/jobs/src/crash_history.cc
+++ b/packages/jobs/src/crash_history.cc
@@ -65,7 +65,7 @@
   for (const WorkerLoss& loss : this->losses) {
     // Once at most, but for runs that were long at work: a task that takes its
     // workers down may do so in the same moments as others.
-    const bool proven = loss.survived >= kProvenRun;
+    const bool proven = loss.survived >= kProvenRunTime;
     const bool discount =
         loss.in_outage && (proven || !std::exchange(discounted, true));
     if (!discount) counted.push_back(loss);
--- a/packages/jobs/src/ended_jobs.cc
+++ b/packages/jobs/src/ended_jobs.cc
@@ -36,9 +36,9 @@
   if (!page) {
     this->parts.log->Write("jobs", "ended-not-read",
                            {{"reason", page.error().message()}});
-    this->parts.executor->After(kStoreRetry, this->guard.Wrap([this, after] {
-      this->ReadFrom(after);
-    }));
+    this->parts.executor->After(
+        kStoreRetryDelay,
+        this->guard.Wrap([this, after] { this->ReadFrom(after); }));
     return;
   }
   for (const StoreItem& item : page.value().items) {
@@ -57,7 +57,7 @@
 
 void EndedJobs::ForgetOld() {
   if (this->removing) return;
-  const Instant old = this->parts.executor->Now() - kRetention;
+  const Instant old = this->parts.executor->Now() - kFinalStateRetention;
   std::vector<JobId> removed;
   for (const Ended& ended : this->order) {
     if (ended.noted > old || removed.size() == kRetentionBatch) break;
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -25,13 +25,13 @@
 constexpr Duration kMaxBelievedAge = seconds(600);
 
 /// How long a run that a former owner ordered may last at a worker that can't
-/// be reached: that owner renews for `kOwnerGrace` at most after its lease at
-/// the store, and the last renewal lasts as long as a worker's lease.
+/// be reached: that owner renews for `kOwnerOutageTolerance` at most after its
+/// lease at the store, and the last renewal lasts as long as a worker's lease.
 Duration InheritedFor() {
   const auto lease = static_cast<double>(kWorkerLease.count());
-  return kOwnerGrace +
+  return kOwnerOutageTolerance +
          Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
-         kLapseMargin;
+         kLeaseExpiryMargin;
 }
 
 }  // namespace
@@ -98,14 +98,14 @@
 
   this->intake = std::make_unique<PrefixMirror>(
       shared.executor, shared.store, shared.log,
-      PrefixMirror::Options{std::string(keys::kIntake), kIntakeWatchPause},
+      PrefixMirror::Options{std::string(keys::kIntake), kIntakeWatchInterval},
       PrefixMirror::Handlers{
           [this](const StoreEvent& event) { this->OnIntake(event); },
           [this] { this->FinishLoading(); }});
   this->workers = std::make_unique<PrefixMirror>(
       shared.executor, shared.store, shared.log,
       PrefixMirror::Options{std::string(this->schema->WorkerPrefix()),
-                            kWorkerWatchPause},
+                            kWorkerWatchInterval},
       PrefixMirror::Handlers{
           [this](const StoreEvent& event) { this->OnWorker(event); },
           [this] { this->FinishLoading(); }});
@@ -348,7 +348,7 @@
 }
 
 void GroupOwner::ForgetParked() {
-  const Instant old = this->context.executor->Now() - kRetention;
+  const Instant old = this->context.executor->Now() - kFinalStateRetention;
   while (!this->parked.empty() && this->parked.front().first < old) {
     const JobId id = this->parked.front().second;
     this->parked.pop_front();
@@ -414,7 +414,7 @@
     this->dispatcher->SchedulePass();
     this->Publish();
   }
-  this->context.executor->After(kTick,
+  this->context.executor->After(kTickInterval,
                                 this->guard.Wrap([this] { this->Tick(); }));
 }
 
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -14,7 +14,8 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Most pauses of `kHoldRetry` between two holds of a worker that is silent.
+/// Most pauses of `kHoldRetryDelay` between two holds of a worker that is
+/// silent.
 constexpr std::int32_t kMaxRetryFactor = 4;
 /// How long after a life has answered it is told of ends: less than a worker
 /// takes to start again.
@@ -26,8 +27,8 @@
 
 Duration HoldLoop::Wait() const {
   const auto workers = static_cast<std::int64_t>(this->context->workers.Size());
-  const Duration wait = Duration(seconds(workers)) / kIdleHoldsPerSecond;
-  return std::clamp(wait, kHoldWait, kLongestHoldWait);
+  const Duration wait = Duration(seconds(workers)) / kMaxIdleHoldsPerSecond;
+  return std::clamp(wait, kHoldWait, kMaxHoldWait);
 }
 
 bool HoldLoop::Due(const WorkerSession& session) const {
@@ -132,7 +133,7 @@
   }
   if (result.order.end != OrderEnd::kDone) {
     this->OnSilence(session, result.order.end,
-                    asked + std::max(sent.wait, kQuickBreak));
+                    asked + std::max(sent.wait, kConnectionClosedThreshold));
     return;
   }
   session->told_end = std::max(session->told_end, sent.last_noted_end);
@@ -150,7 +151,7 @@
                                {"runs", session->runs.size()}});
   }
   session->silent_holds = std::min(session->silent_holds + 1, kMaxRetryFactor);
-  session->next_hold = now + kHoldRetry * session->silent_holds;
+  session->next_hold = now + kHoldRetryDelay * session->silent_holds;
 }
 
 void HoldLoop::OnAnswer(WorkerSession* session, Instant asked,
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -17,9 +17,9 @@
 /// its former life: the lease in it counts on another clock, and the worker
 /// shortens it to the longest that it gives.
 Duration LongestLease() {
-  const auto lease = static_cast<double>(kLongestWorkerLease.count());
+  const auto lease = static_cast<double>(kMaxWorkerLease.count());
   return Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
-         kLapseMargin;
+         kLeaseExpiryMargin;
 }
 
 }  // namespace
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -214,7 +214,7 @@
     this->GiveUp(entry, Error::kStoreUnavailable);
     return;
   }
-  this->parts.executor->After(kStoreRetry, this->guard.Wrap([this, entry] {
+  this->parts.executor->After(kStoreRetryDelay, this->guard.Wrap([this, entry] {
     if (entry->done) this->Pursue(entry);
   }));
 }
--- a/packages/jobs/src/job_lookup.cc
+++ b/packages/jobs/src/job_lookup.cc
@@ -24,12 +24,13 @@
                               const Result<StoreItem>& item) {
   const bool answered = item || item.error() == Error::kUnknownRequest;
   if (answered) return false;
-  if (this->executor->Now() + kStoreRetry >= search->deadline) {
+  if (this->executor->Now() + kStoreRetryDelay >= search->deadline) {
     search->done(make_error_code(Error::kPlatformUnavailable));
     return true;
   }
-  this->executor->After(
-      kStoreRetry, this->guard.Wrap([this, search] { this->ReadJob(search); }));
+  this->executor->After(kStoreRetryDelay, this->guard.Wrap([this, search] {
+    this->ReadJob(search);
+  }));
   return true;
 }
 
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -23,7 +23,7 @@
   return {.end = SubmitOutcome::kNotAccepted,
           .reason = Error::kStoreUnavailable,
           .detail = {},
-          .retry_after = kStoreRetry};
+          .retry_after = kStoreRetryDelay};
 }
 
 SubmitResult NoSuchJob() {
@@ -134,7 +134,8 @@
 
 bool JobNode::Internals::Authorized() const {
   if (this->stepping_down) return false;
-  return this->given.executor->Now() < this->member.RenewedAt() + kOwnerGrace;
+  return this->given.executor->Now() <
+         this->member.RenewedAt() + kOwnerOutageTolerance;
 }
 
 void JobNode::Internals::StepDown(std::string_view reason) {
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -207,7 +207,7 @@
   effect.matched = true;
   if (end != RunEnd::kDone) {
     effect.gang_over = spec->gang;
-    task->not_before = now + kRetryPause;
+    task->not_before = now + kTaskRetryDelay;
   }
   return effect;
 }
@@ -217,7 +217,7 @@
   if (entry == nullptr || this->FindOpen(run) == nullptr) return;
   CrashHistory& history = entry->crashes[run.task];
   const bool sound = this->FindStep(run.task.step)->long_running &&
-                     loss.survived >= kSoundAfter;
+                     loss.survived >= kStableRunTime;
   if (sound) history = {};
   history.Note(loss);
 }
--- a/packages/jobs/src/permission_broker.cc
+++ b/packages/jobs/src/permission_broker.cc
@@ -191,7 +191,7 @@
                             const ProcessId& process, Lane* lane,
                             Duration cost) {
   lane->busy = true;
-  AdviceQuestion question{waiting.need.step, {}, cost + kAdviceSlack};
+  AdviceQuestion question{waiting.need.step, {}, cost + kAdviceTimeoutMargin};
   for (const AskedWorker& worker : workers) {
     question.workers.push_back(worker.id);
   }
@@ -220,7 +220,7 @@
   if (lane != this->lanes.end()) {
     lane->second.busy = false;
     lane->second.busy_with_long = false;
-    if (!answer) lane->second.out_until = now + kAdviceLanePause;
+    if (!answer) lane->second.out_until = now + kAdviceClientBackoff;
   }
   if (StepAdvice* known = FindIn(this->steps, sent.step)) {
     known->asking = false;
--- a/packages/jobs/src/prefix_mirror.cc
+++ b/packages/jobs/src/prefix_mirror.cc
@@ -77,7 +77,7 @@
 void PrefixMirror::Watch() {
   const Instant asked = this->executor->Now();
   this->store->Watch(
-      this->options.prefix, this->next, kWatchWait,
+      this->options.prefix, this->next, kMaxWatchWait,
       this->guard.Wrap([this, asked](const Result<StoreEvents>& events) {
         this->OnEvents(asked, events);
       }));
@@ -133,7 +133,7 @@
   if (std::exchange(this->reachable, false) && !anew) {
     this->log->Write("store", "watch-lost", {{"prefix", this->options.prefix}});
   }
-  this->Later(kStoreRetry, [this, anew] {
+  this->Later(kStoreRetryDelay, [this, anew] {
     if (anew) {
       this->Start();
     } else {
--- a/packages/jobs/src/progress_writer.cc
+++ b/packages/jobs/src/progress_writer.cc
@@ -48,7 +48,7 @@
   const double micros =
       static_cast<double>(Duration(seconds(1)).count()) / std::max(rate, 1.0);
   return std::clamp(Duration(static_cast<std::int64_t>(micros)),
-                    kShortestProgressInterval, kLongestProgressInterval);
+                    kMinProgressInterval, kMaxProgressInterval);
 }
 
 }  // namespace
@@ -150,7 +150,7 @@
   }
   if (result.end != CommitEnd::kCommitted) {
     this->Requeue(std::move(batch));
-    this->next_write = this->executor->Now() + kStoreRetry;
+    this->next_write = this->executor->Now() + kStoreRetryDelay;
     this->Flush();
     return;
   }
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -193,7 +193,7 @@
   // Failure: the store is away while a run is written down, the worker shrinks
   // or drains meanwhile, and the start leaves before that is known.
   if (first && !this->context->worker_view_fresh()) {
-    this->Later(kOrderRetry,
+    this->Later(kOrderRetryDelay,
                 [this, worker, run] { this->SendStart(worker, run); });
     return;
   }
@@ -260,8 +260,9 @@
   if (record == nullptr) return;
   record->order_in_flight = false;
   if (result.end == OrderEnd::kUncertain) record->start_unanswered = true;
-  const bool broke = result.end == OrderEnd::kUncertain &&
-                     this->context->executor->Now() - asked < kQuickBreak;
+  const bool broke =
+      result.end == OrderEnd::kUncertain &&
+      this->context->executor->Now() - asked < kConnectionClosedThreshold;
   if (broke || result.end == OrderEnd::kDone) record->reached = true;
   if (result.end != OrderEnd::kDone) {
     this->context->log->Write("jobs", "start-not-done",
@@ -294,7 +295,7 @@
     this->Stop(session, run);
     this->StopGang(run);
   } else if (!record->stopping) {
-    this->Later(kOrderRetry,
+    this->Later(kOrderRetryDelay,
                 [this, worker, run] { this->SendStart(worker, run); });
   }
 }
@@ -308,7 +309,7 @@
     // Failure: every worker turns the start down, and it is sent again as fast
     // as they answer.
     const std::int32_t doublings = std::min(task->refusals++, kMostDoublings);
-    task->not_before = now + kRetryPause * (1 << doublings);
+    task->not_before = now + kTaskRetryDelay * (1 << doublings);
   }
   if (why == OrderEnd::kRefused) {
     this->context->health.OnFailure(now, session->Incarnation().id,
@@ -321,7 +322,7 @@
   session->RemoveRun(run);
   TaskEntry* task = this->context->jobs.FindOpen(run);
   if (task != nullptr) {
-    task->not_before = this->context->executor->Now() + kRetryPause;
+    task->not_before = this->context->executor->Now() + kTaskRetryDelay;
   }
   this->context->jobs.Withdraw(run);
   this->StopGang(run);
@@ -406,7 +407,7 @@
   }
   session->MarkSilent(this->context->executor->Now(), false);
   this->context->holds->Pump(session);
-  this->Later(kOrderRetry,
+  this->Later(kOrderRetryDelay,
               [this, worker, run] { this->SendStop(worker, run); });
 }
 
@@ -574,7 +575,7 @@
   const Instant now = this->context->executor->Now();
   std::vector<RunRef> over;
   for (const auto& [run, record] : session->runs) {
-    const bool may_start = record.start_sent + kLateStartWait > now;
+    const bool may_start = record.start_sent + kLateStartWindow > now;
     if (record.blocked && !may_start) over.push_back(run);
   }
   for (const RunRef& run : over) {
@@ -593,7 +594,7 @@
   const Instant now = this->context->executor->Now();
   const bool restarts = session->Incarnation().born_ms != 0;
   const bool unanswered = record->order_in_flight || record->start_unanswered;
-  const bool may_start = record->start_sent + kLateStartWait > now;
+  const bool may_start = record->start_sent + kLateStartWindow > now;
   if (!restarts || !unanswered || !may_start) return false;
   session->EndQuarantine(run);
   record->blocked = true;
--- a/packages/jobs/src/stored_progress.cc
+++ b/packages/jobs/src/stored_progress.cc
@@ -27,7 +27,7 @@
                              {{"reason", page.error().message()}});
     }
     this->items.clear();
-    this->parts.executor->After(kStoreRetry,
+    this->parts.executor->After(kStoreRetryDelay,
                                 this->guard.Wrap([this] { this->Read(); }));
     return;
   }
@@ -52,7 +52,7 @@
 
 void StoredProgress::ForgetUnclaimed() {
   const Instant now = this->parts.executor->Now();
-  if (now < this->completed_at + kRetention) return;
+  if (now < this->completed_at + kFinalStateRetention) return;
   for (const auto& [id, item] : std::exchange(this->items, {})) {
     this->Remove(id, item.revision);
   }
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -50,7 +50,7 @@
                          kSlowestWorkerClock;
   const Instant lapse = this->clock->answered +
                         milliseconds(static_cast<std::int64_t>(left_ms) + 1) +
-                        kLapseMargin;
+                        kLeaseExpiryMargin;
   this->lapses_at = std::max(this->lapses_at, lapse);
 }
 
@@ -69,7 +69,8 @@
 
 bool WorkerSession::HasLeft() const {
   if (!this->info.draining) return false;
-  return !this->suspect || this->silent_since + kDrainNotice >= this->leaves_at;
+  return !this->suspect ||
+         this->silent_since + kDrainDetectionDelay >= this->leaves_at;
 }
 
 Instant WorkerSession::LastAnswer() const {
@@ -108,7 +109,7 @@
 std::size_t WorkerSession::CountUnproven() const {
   return static_cast<std::size_t>(std::count_if(
       this->runs.begin(), this->runs.end(),
-      [](const auto& one) { return one.second.Survived() < kProvenRun; }));
+      [](const auto& one) { return one.second.Survived() < kProvenRunTime; }));
 }
 
 SessionRun* WorkerSession::FindRun(const RunRef& run) {
