--- a/packages/core/include/mustardproxy/core/gang_search.h
+++ b/packages/core/include/mustardproxy/core/gang_search.h
@@ -15,7 +15,7 @@
   std::uint32_t worker = 0;
   std::uint32_t rack = 0;
   /// Tasks of the gang that fit there.
-  std::int64_t room = 0;
+  std::int64_t fitting_tasks = 0;
 };
 
 /// Places `tasks` tasks on candidates: within one rack if any can hold them
--- a/packages/core/include/mustardproxy/core/ledger.h
+++ b/packages/core/include/mustardproxy/core/ledger.h
@@ -16,7 +16,7 @@
 namespace mustardproxy {
 
 /// Whether room that is held back for a gang may be used.
-enum class Holds { kRespect, kIgnore };
+enum class HoldPolicy { kRespect, kIgnore };
 
 /// A task's resources that are expected to become free.
 struct ExpectedRelease {
@@ -47,9 +47,9 @@
 
   /// Counts a worker from now on, with what it already runs.
   /// Replaces what was known of it.
-  void Open(const WorkerDescription& worker, const WorkerReport& report);
+  void AddWorker(const WorkerDescription& worker, const WorkerReport& report);
   /// Forgets a worker and all that was reserved on it.
-  void Close(const WorkerId& worker);
+  void RemoveWorker(const WorkerId& worker);
   /// Tasks already there go on; new ones are placed only if `placeable`.
   /// `share` in 0..1 caps the slots handed out while a worker returns from
   /// ejection.
@@ -60,7 +60,7 @@
   [[nodiscard]] bool Reserve(const WorkerId& worker, const TaskId& task,
                              const Resources& resources);
   /// Gives a task's resources back; unknown tasks are ignored.
-  void Free(const WorkerId& worker, const TaskId& task);
+  void Release(const WorkerId& worker, const TaskId& task);
   /// Brings reservations in line with what the worker says it runs: adds tasks
   /// found there. Never drops a reservation, since a start may be on its way.
   void Reconcile(const WorkerId& worker, std::span<const RunningTask> running);
@@ -71,14 +71,16 @@
   /// @complexity far below linear in the number of workers
   [[nodiscard]] std::optional<WorkerId> Find(
       const Resources& resources, Packing packing,
-      std::span<const WorkerId> avoid, Holds holds = Holds::kRespect) const;
+      std::span<const WorkerId> avoid,
+      HoldPolicy holds = HoldPolicy::kRespect) const;
   /// Finds room for `tasks` like tasks at once, within one rack if possible.
   /// @return one worker per task (a worker may stand several times), or empty
   [[nodiscard]] std::vector<WorkerId> FindGang(
       const Resources& resources, std::int32_t tasks, Packing packing,
-      std::span<const WorkerId> avoid, Holds holds = Holds::kRespect) const;
+      std::span<const WorkerId> avoid,
+      HoldPolicy holds = HoldPolicy::kRespect) const;
   /// Finds the earliest moment at which a gang fits if tasks end as expected.
-  /// Holds are left out of account.
+  /// HoldPolicy are left out of account.
   /// @param releases in order of time
   /// @return nothing if it does not fit even after all of them
   [[nodiscard]] std::optional<GangPlan> PlanGang(
@@ -92,22 +94,23 @@
   void Hold(const WorkerId& worker, const Resources& resources);
   void ClearHolds();
   /// @return what is held back there
-  [[nodiscard]] Resources HeldOn(const WorkerId& worker) const;
+  [[nodiscard]] Resources HeldResources(const WorkerId& worker) const;
 
-  /// Counts from now on how many tasks of this size fit, for `TrackedRoom`.
+  /// Counts from now on how many tasks of this size fit, for `TrackedFitCount`.
   /// @complexity linear in the number of workers when the size changes
-  void TrackRoom(const Resources& task);
+  void TrackFitCount(const Resources& task);
   /// @return how many tasks of the tracked size fit now
   /// @complexity constant
-  [[nodiscard]] std::int64_t TrackedRoom() const;
+  [[nodiscard]] std::int64_t TrackedFitCount() const;
   /// @return the same if `resources` were taken on `worker`
-  [[nodiscard]] std::int64_t TrackedRoomWithout(
+  [[nodiscard]] std::int64_t TrackedFitCountWithout(
       const WorkerId& worker, const Resources& resources) const;
 
   /// @return true if an empty owned worker could hold it
   [[nodiscard]] bool CouldEverFit(const Resources& resources) const;
   /// @return how many such tasks all open workers, emptied, could hold
-  [[nodiscard]] std::int64_t EmptyRoomFor(const Resources& resources) const;
+  [[nodiscard]] std::int64_t CountFittingWhenIdle(
+      const Resources& resources) const;
   [[nodiscard]] Resources LargestCapacity() const;
   [[nodiscard]] Resources TotalCapacity() const;
   /// Free on workers that take new work.
--- a/packages/core/include/mustardproxy/core/resource_math.h
+++ b/packages/core/include/mustardproxy/core/resource_math.h
@@ -8,9 +8,9 @@
 namespace mustardproxy {
 
 /// Part by part, the larger of both.
-[[nodiscard]] Resources MaxParts(const Resources& a, const Resources& b);
+[[nodiscard]] Resources ComponentMax(const Resources& a, const Resources& b);
 /// Part by part, the smaller of both.
-[[nodiscard]] Resources MinParts(const Resources& a, const Resources& b);
+[[nodiscard]] Resources ComponentMin(const Resources& a, const Resources& b);
 /// Raises negative parts to zero.
 [[nodiscard]] Resources ClampToZero(const Resources& resources);
 /// Each part `count` times.
--- a/packages/core/include/mustardproxy/core/scheduler.h
+++ b/packages/core/include/mustardproxy/core/scheduler.h
@@ -106,9 +106,10 @@
   /// its run time when `ran`.
   void TaskDone(Instant now, Ledger* ledger, const TaskId& task, bool ran);
   /// Counts a task that was found running at a takeover against its team.
-  void TaskFound(Instant now, const TaskId& task, const RequestId& request,
-                 const ServiceId& service, const TeamId& team,
-                 const WorkerId& worker, Duration running_for);
+  void AdoptRunningTask(Instant now, const TaskId& task,
+                        const RequestId& request, const ServiceId& service,
+                        const TeamId& team, const WorkerId& worker,
+                        Duration running_for);
 
   /// @return wait that a request of `service` would meet now
   [[nodiscard]] Duration PredictWait(Instant now, const Ledger& ledger,
--- a/packages/core/src/ledger/gang_plan.cc
+++ b/packages/core/src/ledger/gang_plan.cc
@@ -52,10 +52,11 @@
   if (position == this->positions.end()) return;
   GangCandidate& candidate = this->candidates[position->second];
   Resources& room = this->free[position->second];
-  room = MinParts(room + release.resources, this->table.At(*worker).capacity);
-  this->total -= candidate.room;
-  candidate.room = CountFitting(this->need.resources, room);
-  this->total += candidate.room;
+  room =
+      ComponentMin(room + release.resources, this->table.At(*worker).capacity);
+  this->total -= candidate.fitting_tasks;
+  candidate.fitting_tasks = CountFitting(this->need.resources, room);
+  this->total += candidate.fitting_tasks;
 }
 
 std::span<const GangCandidate> FutureRoom::Candidates() const {
--- a/packages/core/src/ledger/gang_search.cc
+++ b/packages/core/src/ledger/gang_search.cc
@@ -9,7 +9,7 @@
 /// Candidates of one rack.
 struct RackRoom {
   std::span<const GangCandidate> candidates;
-  std::int64_t room = 0;
+  std::int64_t fitting_tasks = 0;
 };
 
 std::vector<RackRoom> GroupByRack(std::span<const GangCandidate> candidates) {
@@ -17,7 +17,7 @@
   std::size_t begin = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     if (i == begin) racks.push_back({});
-    racks.back().room += candidates[i].room;
+    racks.back().fitting_tasks += candidates[i].fitting_tasks;
     const bool last = i + 1 == candidates.size() ||
                       candidates[i + 1].rack != candidates[i].rack;
     if (!last) continue;
@@ -32,43 +32,44 @@
                            Packing packing) {
   const RackRoom* chosen = nullptr;
   for (const RackRoom& rack : racks) {
-    if (rack.room < tasks) continue;
+    if (rack.fitting_tasks < tasks) continue;
     if (packing == Packing::kFirstFit) return &rack;
-    const bool better = chosen == nullptr || (packing == Packing::kSpread
-                                                  ? rack.room > chosen->room
-                                                  : rack.room < chosen->room);
+    const bool better =
+        chosen == nullptr || (packing == Packing::kSpread
+                                  ? rack.fitting_tasks > chosen->fitting_tasks
+                                  : rack.fitting_tasks < chosen->fitting_tasks);
     if (better) chosen = &rack;
   }
   return chosen;
 }
 
-/// Fills one worker after the other, those with least room first unless the
-/// order is fixed; keeps large gaps whole.
+/// Fills one worker after the other, those with least fitting_tasks first
+/// unless the order is fixed; keeps large gaps whole.
 void FillTightly(std::vector<GangCandidate> candidates, std::int64_t tasks,
                  Packing packing, std::vector<std::uint32_t>* gang) {
   if (packing == Packing::kBestFit) {
-    std::ranges::stable_sort(candidates, {}, &GangCandidate::room);
+    std::ranges::stable_sort(candidates, {}, &GangCandidate::fitting_tasks);
   }
   for (const GangCandidate& candidate : candidates) {
     const std::int64_t count =
-        std::min(candidate.room, tasks - std::ssize(*gang));
+        std::min(candidate.fitting_tasks, tasks - std::ssize(*gang));
     gang->insert(gang->end(), static_cast<std::size_t>(count),
                  candidate.worker);
   }
 }
 
-/// Gives each worker one task in turn, those with most room first.
+/// Gives each worker one task in turn, those with most fitting_tasks first.
 void FillEvenly(std::vector<GangCandidate> candidates, std::int64_t tasks,
                 std::vector<std::uint32_t>* gang) {
   std::ranges::stable_sort(candidates, std::ranges::greater{},
-                           &GangCandidate::room);
+                           &GangCandidate::fitting_tasks);
   bool progress = true;
   while (progress && std::ssize(*gang) < tasks) {
     progress = false;
     for (GangCandidate& candidate : candidates) {
-      if (candidate.room == 0 || std::ssize(*gang) == tasks) continue;
+      if (candidate.fitting_tasks == 0 || std::ssize(*gang) == tasks) continue;
       gang->push_back(candidate.worker);
-      --candidate.room;
+      --candidate.fitting_tasks;
       progress = true;
     }
   }
@@ -95,11 +96,12 @@
     Fill(*rack, tasks, packing, &gang);
     return gang;
   }
-  const std::int64_t room = std::transform_reduce(
+  const std::int64_t fitting_tasks = std::transform_reduce(
       racks.begin(), racks.end(), std::int64_t{0}, std::plus<>(),
-      [](const RackRoom& rack) { return rack.room; });
-  if (room < tasks) return {};
-  std::ranges::stable_sort(racks, std::ranges::greater{}, &RackRoom::room);
+      [](const RackRoom& rack) { return rack.fitting_tasks; });
+  if (fitting_tasks < tasks) return {};
+  std::ranges::stable_sort(racks, std::ranges::greater{},
+                           &RackRoom::fitting_tasks);
   for (const RackRoom& rack : racks) Fill(rack, tasks, packing, &gang);
   return gang;
 }
--- a/packages/core/src/ledger/ledger.cc
+++ b/packages/core/src/ledger/ledger.cc
@@ -26,14 +26,14 @@
 struct Ledger::State {
   detail::WorkerTable table;
 
-  [[nodiscard]] Resources Room(WorkerIndex worker, Holds holds) const;
+  [[nodiscard]] Resources Room(WorkerIndex worker, HoldPolicy holds) const;
   [[nodiscard]] std::vector<WorkerId> Names(
       std::span<const WorkerIndex> workers) const;
 };
 
-Resources Ledger::State::Room(WorkerIndex worker, Holds holds) const {
+Resources Ledger::State::Room(WorkerIndex worker, HoldPolicy holds) const {
   const Resources& free = this->table.Free(worker);
-  if (holds == Holds::kIgnore) return free;
+  if (holds == HoldPolicy::kIgnore) return free;
   return ClampToZero(free - this->table.At(worker).held);
 }
 
@@ -52,12 +52,13 @@
 Ledger::Ledger(Ledger&&) noexcept = default;
 Ledger& Ledger::operator=(Ledger&&) noexcept = default;
 
-void Ledger::Open(const WorkerDescription& worker, const WorkerReport& report) {
-  this->Close(worker.id);
+void Ledger::AddWorker(const WorkerDescription& worker,
+                       const WorkerReport& report) {
+  this->RemoveWorker(worker.id);
   WorkerEntry entry;
   entry.id = worker.id;
   entry.rack = worker.rack;
-  entry.capacity = MinParts(ClampToZero(report.capacity), kMostCounted);
+  entry.capacity = ComponentMin(ClampToZero(report.capacity), kMostCounted);
   entry.open = true;
   entry.placeable = !worker.leaving;
   for (const RunningTask& task : report.running) {
@@ -66,7 +67,7 @@
   this->state->table.Add(std::move(entry));
 }
 
-void Ledger::Close(const WorkerId& worker) {
+void Ledger::RemoveWorker(const WorkerId& worker) {
   const auto found = this->state->table.Find(worker);
   if (found) this->state->table.Remove(*found);
 }
@@ -93,7 +94,7 @@
   return true;
 }
 
-void Ledger::Free(const WorkerId& worker, const TaskId& task) {
+void Ledger::Release(const WorkerId& worker, const TaskId& task) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
   this->state->table.Edit(*found).GiveBack(task);
@@ -112,12 +113,12 @@
 std::optional<WorkerId> Ledger::Find(const Resources& resources,
                                      Packing packing,
                                      std::span<const WorkerId> avoid,
-                                     Holds holds) const {
+                                     HoldPolicy holds) const {
   const detail::WorkerTable& table = this->state->table;
   const auto found =
       detail::PolicyFor(packing).Choose(table, {resources, avoid});
   if (found) return table.At(*found).id;
-  if (holds == Holds::kRespect) return std::nullopt;
+  if (holds == HoldPolicy::kRespect) return std::nullopt;
   for (const WorkerIndex worker : table.HeldWorkers()) {
     const WorkerEntry& entry = table.At(worker);
     if (!entry.placeable || !resources.FitsIn(table.Free(worker))) continue;
@@ -129,7 +130,7 @@
 std::vector<WorkerId> Ledger::FindGang(const Resources& resources,
                                        std::int32_t tasks, Packing packing,
                                        std::span<const WorkerId> avoid,
-                                       Holds holds) const {
+                                       HoldPolicy holds) const {
   const detail::WorkerTable& table = this->state->table;
   if (CountFitting(resources, table.TotalFree()) < tasks) return {};
   std::vector<GangCandidate> candidates;
@@ -160,29 +161,29 @@
 
 void Ledger::ClearHolds() { this->state->table.ClearHolds(); }
 
-Resources Ledger::HeldOn(const WorkerId& worker) const {
+Resources Ledger::HeldResources(const WorkerId& worker) const {
   const auto found = this->state->table.Find(worker);
   return found ? this->state->table.At(*found).held : Resources{};
 }
 
-void Ledger::TrackRoom(const Resources& task) {
-  this->state->table.TrackRoom(task);
+void Ledger::TrackFitCount(const Resources& task) {
+  this->state->table.TrackFitCount(task);
 }
 
-std::int64_t Ledger::TrackedRoom() const {
-  return this->state->table.TrackedRoom();
+std::int64_t Ledger::TrackedFitCount() const {
+  return this->state->table.TrackedFitCount();
 }
 
-std::int64_t Ledger::TrackedRoomWithout(const WorkerId& worker,
-                                        const Resources& resources) const {
+std::int64_t Ledger::TrackedFitCountWithout(const WorkerId& worker,
+                                            const Resources& resources) const {
   const detail::WorkerTable& table = this->state->table;
   const auto found = table.Find(worker);
-  if (!found) return table.TrackedRoom();
+  if (!found) return table.TrackedFitCount();
   const Resources& free = table.Free(*found);
   const Resources& task = table.TrackedTask();
   const std::int64_t before = CountFitting(task, free);
   const std::int64_t after = CountFitting(task, free - resources);
-  return table.TrackedRoom() - before + after;
+  return table.TrackedFitCount() - before + after;
 }
 
 bool Ledger::CouldEverFit(const Resources& resources) const {
@@ -192,7 +193,7 @@
                              });
 }
 
-std::int64_t Ledger::EmptyRoomFor(const Resources& resources) const {
+std::int64_t Ledger::CountFittingWhenIdle(const Resources& resources) const {
   std::int64_t room = 0;
   for (const detail::CapacityClass& kind : this->state->table.Classes()) {
     room += kind.workers * CountFitting(resources, kind.capacity);
@@ -214,7 +215,7 @@
   const detail::WorkerTable& table = this->state->table;
   Resources largest = table.Rooms().Largest().Unpack();
   for (const WorkerIndex worker : table.HeldWorkers()) {
-    largest = MaxParts(largest, table.Free(worker));
+    largest = ComponentMax(largest, table.Free(worker));
   }
   return largest;
 }
--- a/packages/core/src/ledger/resource_math.cc
+++ b/packages/core/src/ledger/resource_math.cc
@@ -17,20 +17,20 @@
 
 }  // namespace
 
-Resources MaxParts(const Resources& a, const Resources& b) {
+Resources ComponentMax(const Resources& a, const Resources& b) {
   return {std::max(a.cpu_milli, b.cpu_milli),
           std::max(a.memory_mb, b.memory_mb),
           std::max(a.accelerators, b.accelerators), std::max(a.slots, b.slots)};
 }
 
-Resources MinParts(const Resources& a, const Resources& b) {
+Resources ComponentMin(const Resources& a, const Resources& b) {
   return {std::min(a.cpu_milli, b.cpu_milli),
           std::min(a.memory_mb, b.memory_mb),
           std::min(a.accelerators, b.accelerators), std::min(a.slots, b.slots)};
 }
 
 Resources ClampToZero(const Resources& resources) {
-  return MaxParts(resources, Resources{});
+  return ComponentMax(resources, Resources{});
 }
 
 Resources Times(const Resources& resources, std::int64_t count) {
--- a/packages/core/src/ledger/worker_table.cc
+++ b/packages/core/src/ledger/worker_table.cc
@@ -119,7 +119,7 @@
   this->total_capacity += Times(capacity, workers);
   Resources largest;
   for (const CapacityClass& kind : this->classes) {
-    largest = MaxParts(largest, kind.capacity);
+    largest = ComponentMax(largest, kind.capacity);
   }
   if (largest == this->largest_capacity) return;
   this->largest_capacity = largest;
@@ -147,8 +147,8 @@
   this->racks[known.rack].free += change;
   known.free = free;
   const std::int64_t room = CountFitting(this->tracked, free);
-  this->tracked_room += room - known.tracked_room;
-  known.tracked_room = room;
+  this->tracked_fit_count += room - known.tracked_fit_count;
+  known.tracked_fit_count = room;
   this->Reindex(worker, ClampToZero(free - entry.held));
 }
 
@@ -178,14 +178,14 @@
   while (!this->held.empty()) this->Hold(this->held.back(), {});
 }
 
-void WorkerTable::TrackRoom(const Resources& task) {
+void WorkerTable::TrackFitCount(const Resources& task) {
   if (task == this->tracked) return;
   this->tracked = task;
-  this->tracked_room = 0;
+  this->tracked_fit_count = 0;
   for (const auto& [id, worker] : this->by_id) {
     Counted& known = this->counted[worker];
-    known.tracked_room = CountFitting(task, known.free);
-    this->tracked_room += known.tracked_room;
+    known.tracked_fit_count = CountFitting(task, known.free);
+    this->tracked_fit_count += known.tracked_fit_count;
   }
 }
 
--- a/packages/core/src/ledger/worker_table.h
+++ b/packages/core/src/ledger/worker_table.h
@@ -55,7 +55,7 @@
   void Hold(WorkerIndex worker, const Resources& resources);
   void ClearHolds();
   /// Counts from now on how many tasks of this size fit.
-  void TrackRoom(const Resources& task);
+  void TrackFitCount(const Resources& task);
 
   [[nodiscard]] std::size_t Size() const { return this->by_id.size(); }
   [[nodiscard]] std::span<const Rack> Racks() const { return this->racks; }
@@ -70,7 +70,9 @@
   [[nodiscard]] const Resources& TotalFree() const;
   [[nodiscard]] const Resources& Free(WorkerIndex worker) const;
   [[nodiscard]] const Resources& TrackedTask() const { return this->tracked; }
-  [[nodiscard]] std::int64_t TrackedRoom() const { return this->tracked_room; }
+  [[nodiscard]] std::int64_t TrackedFitCount() const {
+    return this->tracked_fit_count;
+  }
   /// @return one number for the size of an amount, relative to the largest
   ///   capacity; no part can grow without it growing or staying
   [[nodiscard]] std::uint32_t SizeKey(const Resources& resources) const;
@@ -82,7 +84,7 @@
     Resources free;
     Resources unheld;
     std::uint32_t size_key = 0;
-    std::int64_t tracked_room = 0;
+    std::int64_t tracked_fit_count = 0;
     RackIndex rack = 0;
   };
 
@@ -106,7 +108,7 @@
   CapacityScale scale;
   Resources total_free;
   Resources tracked;
-  std::int64_t tracked_room = 0;
+  std::int64_t tracked_fit_count = 0;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -312,7 +312,7 @@
     // Failure: the task was followed before its worker was taken over. The
     // ledger then counted it from the worker's report, and nobody gave its room
     // back: work waited beside an idle worker. It certainly does not run now.
-    this->parts->ledger.Free(plan.worker, id);
+    this->parts->ledger.Release(plan.worker, id);
   }
   const auto at = this->by_worker.find(plan.worker);
   at->second.erase(id);
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -81,7 +81,7 @@
 
 void WorkerFlow::Open(const OwnedWorker& owned, const WorkerReport& report) {
   const WorkerId& worker = report.worker;
-  this->parts->ledger.Open(owned.description, report);
+  this->parts->ledger.AddWorker(owned.description, report);
   this->open.insert(worker);
 
   this->found.erase(worker);
@@ -102,7 +102,7 @@
     const bool added =
         this->found[report.worker].emplace(task.task, task.request).second;
     if (added) {
-      this->parts->scheduler.TaskFound(
+      this->parts->scheduler.AdoptRunningTask(
           this->parts->context.now, task.task, task.request, task.service,
           this->parts->TeamOf(task.request), report.worker, task.running_for);
       this->parts->orphan_gangs.OnFound(task.request, task.service);
@@ -122,7 +122,7 @@
     if (!runs) {
       this->parts->scheduler.TaskDone(this->parts->context.now,
                                       &this->parts->ledger, entry.first, true);
-      this->parts->ledger.Free(report.worker, entry.first);
+      this->parts->ledger.Release(report.worker, entry.first);
     }
     return !runs;
   });
@@ -187,7 +187,7 @@
 
 void WorkerFlow::Close(const WorkerId& worker) {
   this->open.erase(worker);
-  this->parts->ledger.Close(worker);
+  this->parts->ledger.RemoveWorker(worker);
   this->parts->health.Remove(worker);
   this->capped.erase(worker);
   this->suspended.erase(worker);
--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -76,7 +76,7 @@
             DescribeTooLarge(service.resources, ledger.LargestCapacity()),
             Duration(0)};
   }
-  const std::int64_t room = ledger.EmptyRoomFor(service.resources);
+  const std::int64_t room = ledger.CountFittingWhenIdle(service.resources);
   if (room >= service.tasks) return {};
   std::ostringstream text;
   text << "the request has " << service.tasks << " tasks of "
--- a/packages/core/src/scheduler/gang_reservation.cc
+++ b/packages/core/src/scheduler/gang_reservation.cc
@@ -95,22 +95,23 @@
   if (count == 0) return;
   this->planned[worker] = count;
   const Resources needed = Times(this->task, count);
-  ledger->Hold(worker, MinParts(needed, ledger->HeldOn(worker) + resources));
+  ledger->Hold(worker,
+               ComponentMin(needed, ledger->HeldResources(worker) + resources));
 }
 
-Holds GangReservation::HoldsFor(Instant now,
-                                const ServiceEntry& service) const {
-  if (!this->Active()) return Holds::kRespect;
-  if (this->OutrankedBy(service.profile.priority)) return Holds::kIgnore;
+HoldPolicy GangReservation::HoldsFor(Instant now,
+                                     const ServiceEntry& service) const {
+  if (!this->Active()) return HoldPolicy::kRespect;
+  if (this->OutrankedBy(service.profile.priority)) return HoldPolicy::kIgnore;
   const bool ends_before = now + service.LongRun() <= this->start;
-  return ends_before ? Holds::kIgnore : Holds::kRespect;
+  return ends_before ? HoldPolicy::kIgnore : HoldPolicy::kRespect;
 }
 
 std::int64_t GangReservation::HeldRoomFor(const Resources& size,
                                           const Ledger& ledger) const {
   std::int64_t room = 0;
   for (const auto& [worker, count] : this->planned) {
-    room += CountFitting(size, ledger.HeldOn(worker));
+    room += CountFitting(size, ledger.HeldResources(worker));
   }
   return room;
 }
--- a/packages/core/src/scheduler/gang_reservation.h
+++ b/packages/core/src/scheduler/gang_reservation.h
@@ -54,7 +54,8 @@
   void OnFreed(const WorkerId& worker, const Resources& resources,
                Ledger* ledger);
   /// @return whether work may use held room
-  [[nodiscard]] Holds HoldsFor(Instant now, const ServiceEntry& service) const;
+  [[nodiscard]] HoldPolicy HoldsFor(Instant now,
+                                    const ServiceEntry& service) const;
   /// @return how many tasks of this size fit into what is held
   [[nodiscard]] std::int64_t HeldRoomFor(const Resources& task,
                                          const Ledger& ledger) const;
--- a/packages/core/src/scheduler/headroom.cc
+++ b/packages/core/src/scheduler/headroom.cc
@@ -70,8 +70,8 @@
   this->task_share = DominantShare(this->task, ledger->TotalCapacity());
   this->window_seconds =
       std::chrono::duration<double>(load.shortest_wait).count() * kWindowPart;
-  this->most = ledger->EmptyRoomFor(this->task) / kLargestPart;
-  ledger->TrackRoom(this->task);
+  this->most = ledger->CountFittingWhenIdle(this->task) / kLargestPart;
+  ledger->TrackFitCount(this->task);
 }
 
 void Headroom::FollowOtherWork(double share_per_second) {
--- a/packages/core/src/scheduler/placement_pass.cc
+++ b/packages/core/src/scheduler/placement_pass.cc
@@ -162,8 +162,8 @@
   const TeamEntry& team = this->state->catalog.TeamAt(lane.team);
   if (!team.HasQuotaFor(service.all_tasks)) return Attempt::kLaneBlocked;
   const bool holder = this->state->reservation.HeldBy(entry.request.request);
-  const Holds holds =
-      holder ? Holds::kIgnore
+  const HoldPolicy holds =
+      holder ? HoldPolicy::kIgnore
              : this->state->reservation.HoldsFor(this->now, service);
   const std::vector<WorkerId> workers = this->FindRoom(entry, service, holds);
   if (workers.empty()) {
@@ -184,7 +184,7 @@
 
 std::vector<WorkerId> PlacementPass::FindRoom(const QueueEntry& entry,
                                               const ServiceEntry& service,
-                                              Holds holds) const {
+                                              HoldPolicy holds) const {
   const std::vector<WorkerId>& avoid = entry.request.avoid;
   const Packing packing = service.profile.packing;
   if (service.tasks > 1) {
@@ -210,7 +210,7 @@
                                     : service.profile.priority;
   const std::int64_t wanted = headroom.WantedOf(priority);
   if (wanted == 0) return true;
-  std::int64_t left = this->ledger->TrackedRoom();
+  std::int64_t left = this->ledger->TrackedFitCount();
   const GangReservation& reservation = this->state->reservation;
   const bool outranks = reservation.OutrankedBy(service.profile.priority);
   if (reservation.Active() && !holds_reservation && !outranks) {
@@ -221,8 +221,8 @@
     while (next < workers.size() && workers[next] == workers[i]) ++next;
     const Resources taken =
         Times(service.resources, static_cast<std::int64_t>(next - i));
-    left -= this->ledger->TrackedRoom() -
-            this->ledger->TrackedRoomWithout(workers[i], taken);
+    left -= this->ledger->TrackedFitCount() -
+            this->ledger->TrackedFitCountWithout(workers[i], taken);
     i = next;
   }
   return left >= wanted;
@@ -258,8 +258,8 @@
       // The id is in use already: this attempt runs, found at a takeover. All
       // or nothing, so the rest is given back.
       for (std::size_t j = before; j < this->placements.size(); ++j) {
-        this->ledger->Free(this->placements[j].worker,
-                           this->placements[j].task);
+        this->ledger->Release(this->placements[j].worker,
+                              this->placements[j].task);
       }
       this->placements.resize(before);
       return false;
--- a/packages/core/src/scheduler/placement_pass.h
+++ b/packages/core/src/scheduler/placement_pass.h
@@ -52,7 +52,7 @@
   Attempt TryPlace(RequestSlot slot);
   [[nodiscard]] std::vector<WorkerId> FindRoom(const QueueEntry& entry,
                                                const ServiceEntry& service,
-                                               Holds holds) const;
+                                               HoldPolicy holds) const;
   [[nodiscard]] bool LeavesHeadroom(const ServiceEntry& service,
                                     const std::vector<WorkerId>& workers,
                                     bool holds_reservation) const;
--- a/packages/core/src/scheduler/scheduler.cc
+++ b/packages/core/src/scheduler/scheduler.cc
@@ -86,10 +86,10 @@
       .run_times.Add(std::max(now - entry->started, Duration(1)));
 }
 
-void Scheduler::TaskFound(Instant now, const TaskId& task,
-                          const RequestId& request, const ServiceId& service,
-                          const TeamId& team, const WorkerId& worker,
-                          Duration running_for) {
+void Scheduler::AdoptRunningTask(Instant now, const TaskId& task,
+                                 const RequestId& request,
+                                 const ServiceId& service, const TeamId& team,
+                                 const WorkerId& worker, Duration running_for) {
   detail::RunningEntry entry;
   entry.task = task;
   entry.request = request;
--- a/packages/core/src/scheduler/scheduler_state.cc
+++ b/packages/core/src/scheduler/scheduler_state.cc
@@ -115,7 +115,7 @@
                                                 Ledger* ledger) {
   std::optional<RunningEntry> entry = this->running.Remove(task);
   if (!entry) return std::nullopt;
-  ledger->Free(entry->worker, task);
+  ledger->Release(entry->worker, task);
   this->reservation.OnFreed(entry->worker, entry->resources, ledger);
   this->bands[entry->priority].held -= entry->resources;
   if (entry->priority == 0) this->headroom.UrgentEnded();
--- a/packages/core/src/scheduler/victim_search.cc
+++ b/packages/core/src/scheduler/victim_search.cc
@@ -38,7 +38,7 @@
     if (!team.HasQuotaFor(service.all_tasks)) continue;
     const bool gang = service.tasks > 1;
     if (!gang && ledger.Find(service.resources, Packing::kFirstFit, {},
-                             Holds::kIgnore)) {
+                             HoldPolicy::kIgnore)) {
       continue;
     }
     const auto waiting = static_cast<std::int64_t>(lane.live);
--- a/packages/core/src/scheduler/wait_forecast.cc
+++ b/packages/core/src/scheduler/wait_forecast.cc
@@ -50,7 +50,7 @@
     if (!fits) return 0;
     const std::int64_t wanted =
         state.headroom.WantedOf(service.profile.priority);
-    if (wanted > 0 && ledger.TrackedRoom() <= wanted) return 0;
+    if (wanted > 0 && ledger.TrackedFitCount() <= wanted) return 0;
   }
   const auto room = static_cast<double>(CountFitting(service.resources, free));
   return room * state.SizeOf(service.resources);
--- a/packages/core/tests/ledger_basic_test.cc
+++ b/packages/core/tests/ledger_basic_test.cc
@@ -29,25 +29,25 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_opens_with_what_it_already_runs) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w", {Run("a"), Run("b")}));
+  ledger.AddWorker(Worker("w"), Report("w", {Run("a"), Run("b")}));
   BOOST_TEST((ledger.FreeOn(WorkerId("w")) == kCapacity - kTask - kTask));
   BOOST_TEST((ledger.TotalCapacity() == kCapacity));
 }
 
 BOOST_AUTO_TEST_CASE(reserve_refuses_what_does_not_fit) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w"));
+  ledger.AddWorker(Worker("w"), Report("w"));
   for (int i = 0; i < 8; ++i) {
     BOOST_TEST(ledger.Reserve(WorkerId("w"), TaskId(std::to_string(i)), kTask));
   }
   BOOST_TEST(!ledger.Reserve(WorkerId("w"), TaskId("more"), kTask));
-  ledger.Free(WorkerId("w"), TaskId("0"));
+  ledger.Release(WorkerId("w"), TaskId("0"));
   BOOST_TEST(ledger.Reserve(WorkerId("w"), TaskId("more"), kTask));
 }
 
 BOOST_AUTO_TEST_CASE(a_task_is_counted_once) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w"));
+  ledger.AddWorker(Worker("w"), Report("w"));
   BOOST_TEST(ledger.Reserve(WorkerId("w"), TaskId("a"), kTask));
   BOOST_TEST(!ledger.Reserve(WorkerId("w"), TaskId("a"), kTask));
   const std::vector<RunningTask> running{Run("a"), Run("b")};
@@ -60,7 +60,7 @@
 // given away twice.
 BOOST_AUTO_TEST_CASE(reconcile_never_drops_a_reservation) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w"));
+  ledger.AddWorker(Worker("w"), Report("w"));
   BOOST_TEST(ledger.Reserve(WorkerId("w"), TaskId("a"), kTask));
   ledger.Reconcile(WorkerId("w"), {});
   BOOST_TEST((ledger.FreeOn(WorkerId("w")) == kCapacity - kTask));
@@ -68,7 +68,7 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_is_not_placeable_gets_nothing_new) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w"));
+  ledger.AddWorker(Worker("w"), Report("w"));
   ledger.SetPlaceable(WorkerId("w"), false);
   BOOST_TEST(!ledger.Find(kTask, Packing::kBestFit, {}).has_value());
   BOOST_TEST(!ledger.Reserve(WorkerId("w"), TaskId("a"), kTask));
@@ -79,7 +79,7 @@
 
 BOOST_AUTO_TEST_CASE(avoided_workers_are_not_found) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w"));
+  ledger.AddWorker(Worker("w"), Report("w"));
   const std::vector<WorkerId> avoid{WorkerId("w")};
   for (const Packing packing :
        {Packing::kBestFit, Packing::kFirstFit, Packing::kSpread}) {
@@ -90,9 +90,9 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_prefers_one_rack) {
   Ledger ledger;
-  ledger.Open(Worker("a1", "a"), Report("a1", {Run("x")}));
-  ledger.Open(Worker("b1", "b"), Report("b1"));
-  ledger.Open(Worker("b2", "b"), Report("b2"));
+  ledger.AddWorker(Worker("a1", "a"), Report("a1", {Run("x")}));
+  ledger.AddWorker(Worker("b1", "b"), Report("b1"));
+  ledger.AddWorker(Worker("b2", "b"), Report("b2"));
   const std::vector<WorkerId> gang =
       ledger.FindGang(kTask, 12, Packing::kBestFit, {});
   BOOST_REQUIRE(gang.size() == 12);
@@ -103,8 +103,8 @@
 
 BOOST_AUTO_TEST_CASE(closing_a_worker_forgets_it) {
   Ledger ledger;
-  ledger.Open(Worker("w"), Report("w", {Run("a")}));
-  ledger.Close(WorkerId("w"));
+  ledger.AddWorker(Worker("w"), Report("w", {Run("a")}));
+  ledger.RemoveWorker(WorkerId("w"));
   BOOST_TEST(ledger.WorkerCount() == 0);
   BOOST_TEST(!ledger.CouldEverFit(kTask));
   BOOST_TEST(!ledger.FreeOn(WorkerId("w")).has_value());
--- a/packages/core/tests/ledger_gang_test.cc
+++ b/packages/core/tests/ledger_gang_test.cc
@@ -22,7 +22,7 @@
       WorkerReport report;
       report.worker = worker.id;
       report.capacity = kCapacity;
-      this->ledger.Open(worker, report);
+      this->ledger.AddWorker(worker, report);
     }
   }
   void Use(const char* worker, std::int64_t slots) {
@@ -54,11 +54,13 @@
   }
   this->Use("b2", 8);
   BOOST_TEST(!this->ledger.Find(kTask, Packing::kBestFit, {}).has_value());
-  BOOST_TEST(this->ledger.Find(kTask, Packing::kBestFit, {}, Holds::kIgnore)
-                 .has_value());
+  BOOST_TEST(
+      this->ledger.Find(kTask, Packing::kBestFit, {}, HoldPolicy::kIgnore)
+          .has_value());
   BOOST_TEST(this->ledger.FindGang(kTask, 2, Packing::kBestFit, {}).empty());
   BOOST_TEST(
-      this->ledger.FindGang(kTask, 24, Packing::kBestFit, {}, Holds::kIgnore)
+      this->ledger
+          .FindGang(kTask, 24, Packing::kBestFit, {}, HoldPolicy::kIgnore)
           .size() == 24);
   this->ledger.ClearHolds();
   BOOST_TEST(this->ledger.FindGang(kTask, 2, Packing::kBestFit, {}).size() ==
@@ -85,16 +87,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(tracked_room_follows_every_change) {
-  this->ledger.TrackRoom(kTask);
-  BOOST_TEST(this->ledger.TrackedRoom() == 32);
+  this->ledger.TrackFitCount(kTask);
+  BOOST_TEST(this->ledger.TrackedFitCount() == 32);
   this->Use("a1", 3);
-  BOOST_TEST(this->ledger.TrackedRoom() == 29);
-  BOOST_TEST(this->ledger.TrackedRoomWithout(
+  BOOST_TEST(this->ledger.TrackedFitCount() == 29);
+  BOOST_TEST(this->ledger.TrackedFitCountWithout(
                  WorkerId("a2"), Resources{6500, 1000, 0, 1}) == 22);
   this->ledger.SetPlaceable(WorkerId("b1"), false);
-  BOOST_TEST(this->ledger.TrackedRoom() == 21);
-  this->ledger.Close(WorkerId("a1"));
-  BOOST_TEST(this->ledger.TrackedRoom() == 16);
+  BOOST_TEST(this->ledger.TrackedFitCount() == 21);
+  this->ledger.RemoveWorker(WorkerId("a1"));
+  BOOST_TEST(this->ledger.TrackedFitCount() == 16);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/core/tests/ledger_random_test.cc
+++ b/packages/core/tests/ledger_random_test.cc
@@ -76,14 +76,14 @@
     WorkerReport report;
     report.worker = id;
     report.capacity = kCapacity;
-    this->ledger.Open(worker, report);
+    this->ledger.AddWorker(worker, report);
     this->model.workers[id] = {};
     this->closed.erase(id);
   }
   void CloseSome() {
     if (this->closed.size() >= kMostClosed) return;
     const WorkerId worker = this->AnyWorker();
-    this->ledger.Close(worker);
+    this->ledger.RemoveWorker(worker);
     this->model.workers.erase(worker);
     this->closed.insert(worker);
   }
@@ -113,7 +113,7 @@
     Model::Entry& entry = this->model.workers[worker];
     if (entry.tasks.empty()) return;
     const auto ended = entry.tasks.begin();
-    this->ledger.Free(worker, ended->first);
+    this->ledger.Release(worker, ended->first);
     entry.used -= ended->second;
     entry.tasks.erase(ended);
   }
--- a/packages/core/tests/scheduler_admission_test.cc
+++ b/packages/core/tests/scheduler_admission_test.cc
@@ -47,8 +47,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(without_a_worker_it_says_so) {
-  this->ledger.Close(WorkerId("w0"));
-  this->ledger.Close(WorkerId("w1"));
+  this->ledger.RemoveWorker(WorkerId("w0"));
+  this->ledger.RemoveWorker(WorkerId("w1"));
   BOOST_TEST(this->Enqueue("q", "task").refusal == Error::kNoWorker);
 }
 
--- a/packages/core/tests/scheduler_basic_test.cc
+++ b/packages/core/tests/scheduler_basic_test.cc
@@ -51,7 +51,7 @@
     WorkerReport report;
     report.worker = worker.id;
     report.capacity = kCapacity;
-    this->ledger.Open(worker, report);
+    this->ledger.AddWorker(worker, report);
   }
 
   Admission Enqueue(const std::string& request, const std::string& service,
--- a/packages/core/tests/scheduler_fair_share_test.cc
+++ b/packages/core/tests/scheduler_fair_share_test.cc
@@ -74,9 +74,9 @@
 BOOST_AUTO_TEST_CASE(a_task_found_at_a_takeover_counts_against_its_team) {
   this->AddTeam("a").quota = {0, 0, 0, 1};
   this->Configure();
-  this->scheduler.TaskFound(this->now, TaskId("old/0/1"), RequestId("old"),
-                            ServiceId("task"), TeamId("a"), WorkerId("w0"),
-                            std::chrono::seconds(1));
+  this->scheduler.AdoptRunningTask(
+      this->now, TaskId("old/0/1"), RequestId("old"), ServiceId("task"),
+      TeamId("a"), WorkerId("w0"), std::chrono::seconds(1));
   BOOST_TEST(!this->Enqueue("a0", "task", "a").refusal);
   BOOST_TEST(this->Schedule().empty());
   this->Done(TaskId("old/0/1"));
--- a/packages/core/tests/scheduler_test_cell.h
+++ b/packages/core/tests/scheduler_test_cell.h
@@ -29,7 +29,7 @@
     WorkerReport report;
     report.worker = worker.id;
     report.capacity = {8000, 8000, 0, 8};
-    this->ledger.Open(worker, report);
+    this->ledger.AddWorker(worker, report);
   }
 
   Profile& AddProfile(const char* id, std::int32_t priority,
--- a/packages/jobs/src/pass_rooms.cc
+++ b/packages/jobs/src/pass_rooms.cc
@@ -23,7 +23,7 @@
     this->by_session[session->Number()] = &room;
     ServiceRooms& service = this->services[session->info.service];
     service.rooms.push_back(&room);
-    service.most = MaxParts(service.most, room.free);
+    service.most = ComponentMax(service.most, room.free);
     service.capacity += session->info.capacity;
   }
 }
--- a/packages/jobs/src/placement.cc
+++ b/packages/jobs/src/placement.cc
@@ -34,7 +34,7 @@
                                      std::span<Candidate> candidates) {
   const std::vector<GangCandidate> grouped = Group(step, candidates);
   std::int64_t room = 0;
-  for (const GangCandidate& one : grouped) room += one.room;
+  for (const GangCandidate& one : grouped) room += one.fitting_tasks;
   const std::int64_t count = std::min<std::int64_t>(room, tasks);
   if (count == 0 || (step.gang && count < tasks)) return {};
   std::vector<WorkerIncarnation> workers;
--- a/testing/bench_decisions/cell.cc
+++ b/testing/bench_decisions/cell.cc
@@ -55,7 +55,7 @@
     WorkerReport report;
     report.worker = worker.id;
     report.capacity = cell.capacity;
-    ledger.Open(worker, report);
+    ledger.AddWorker(worker, report);
   }
   return ledger;
 }
--- a/testing/bench_decisions/dispatcher.cc
+++ b/testing/bench_decisions/dispatcher.cc
@@ -131,7 +131,7 @@
 
 void FifoDispatcher::Done(Instant /*now*/, const Placement& placement,
                           bool /*ran*/) {
-  this->ledger->Free(placement.worker, placement.task);
+  this->ledger->Release(placement.worker, placement.task);
 }
 
 void FifoDispatcher::Requeue(Instant /*now*/, const QueuedRequest& request) {
--- a/testing/bench_decisions/packing.cc
+++ b/testing/bench_decisions/packing.cc
@@ -71,7 +71,8 @@
     std::uniform_int_distribution<std::size_t> pick(0,
                                                     this->running.size() - 1);
     std::swap(this->running[pick(*random)], this->running.back());
-    this->ledger.Free(this->running.back().worker, this->running.back().task);
+    this->ledger.Release(this->running.back().worker,
+                         this->running.back().task);
     this->running.pop_back();
   }
   /// @return share in use of the part that is used most
--- a/testing/bench_decisions/placement_cost.cc
+++ b/testing/bench_decisions/placement_cost.cc
@@ -41,7 +41,7 @@
     return worker;
   }
   void Free(const WorkerId& worker, const TaskId& task) override {
-    this->ledger.Free(worker, task);
+    this->ledger.Release(worker, task);
   }
 
  private:
--- a/testing/job_sim/src/sim_worker.cc
+++ b/testing/job_sim/src/sim_worker.cc
@@ -100,7 +100,7 @@
 mustardproxy::Resources SimWorker::CapacitySince(Instant moment) const {
   mustardproxy::Resources most = this->info.capacity;
   for (const auto& [ended, capacity] : this->former_capacities) {
-    if (ended >= moment) most = mustardproxy::MaxParts(most, capacity);
+    if (ended >= moment) most = mustardproxy::ComponentMax(most, capacity);
   }
   return most;
 }
