--- a/packages/core/include/mustardproxy/core/resource_math.h
+++ b/packages/core/include/mustardproxy/core/resource_math.h
@@ -11,15 +11,16 @@
 [[nodiscard]] Resources ComponentMax(const Resources& a, const Resources& b);
 /// Part by part, the smaller of both.
 [[nodiscard]] Resources ComponentMin(const Resources& a, const Resources& b);
-/// Raises negative parts to zero.
+/// Raises negative components to zero.
 [[nodiscard]] Resources ClampToZero(const Resources& resources);
 /// Each part `count` times.
-[[nodiscard]] Resources Times(const Resources& resources, std::int64_t count);
+[[nodiscard]] Resources Multiply(const Resources& resources,
+                                 std::int64_t count);
 /// @return how many tasks of this size fit into `room` side by side; a task
 ///   that takes nothing counts as fitting `kUnboundedCount` times
 [[nodiscard]] std::int64_t CountFitting(const Resources& task,
                                         const Resources& room);
-/// @return largest of the parts of `used` as a share of `total`; a part of
+/// @return largest of the components of `used` as a share of `total`; a part of
 ///   which there is none at all is left out
 [[nodiscard]] double DominantShare(const Resources& used,
                                    const Resources& total);
--- a/packages/core/src/ledger/free_capacity_index.cc
+++ b/packages/core/src/ledger/free_capacity_index.cc
@@ -7,38 +7,39 @@
 namespace {
 
 /// @return the first item that does not come before `key`
-std::vector<FreeCapacityIndex::Item>::iterator PlaceOf(
+std::vector<FreeCapacityIndex::Item>::iterator LowerBound(
     const IndexKey& key, std::vector<FreeCapacityIndex::Item>* items) {
   return std::ranges::lower_bound(
-      *items, key.Order(), {},
-      [](const FreeCapacityIndex::Item& item) { return item.key.Order(); });
+      *items, key.SortKey(), {},
+      [](const FreeCapacityIndex::Item& item) { return item.key.SortKey(); });
 }
 
 }  // namespace
 
 std::size_t FreeCapacityIndex::BlockOf(const IndexKey& key) const {
   const auto after = std::ranges::upper_bound(
-      this->blocks, key.Order(), {},
-      [](const Block& block) { return block.items.front().key.Order(); });
+      this->blocks, key.SortKey(), {},
+      [](const Block& block) { return block.items.front().key.SortKey(); });
   if (after == this->blocks.begin()) return 0;
   return static_cast<std::size_t>(after - this->blocks.begin()) - 1;
 }
 
-void FreeCapacityIndex::Measure(Block* block) {
-  PackedRoom largest;
-  for (const Item& item : block->items) largest.RaiseTo(item.room);
+void FreeCapacityIndex::UpdateLargest(Block* block) {
+  PackedResources largest;
+  for (const Item& item : block->items) largest.RaiseToMax(item.room);
   block->largest = largest;
 }
 
-void FreeCapacityIndex::Insert(const IndexKey& key, const PackedRoom& room) {
+void FreeCapacityIndex::Insert(const IndexKey& key,
+                               const PackedResources& room) {
   if (this->blocks.empty()) {
     this->blocks.push_back({{{key, room}}, room});
     return;
   }
   const std::size_t position = this->BlockOf(key);
   Block& block = this->blocks[position];
-  block.items.insert(PlaceOf(key, &block.items), {key, room});
-  block.largest.RaiseTo(room);
+  block.items.insert(LowerBound(key, &block.items), {key, room});
+  block.largest.RaiseToMax(room);
   if (block.items.size() > kBlockSize) this->Split(position);
 }
 
@@ -49,8 +50,8 @@
   upper.items.reserve(kBlockSize + 1);
   upper.items.assign(middle, lower.items.end());
   lower.items.erase(middle, lower.items.end());
-  Measure(&lower);
-  Measure(&upper);
+  UpdateLargest(&lower);
+  UpdateLargest(&upper);
   this->blocks.insert(
       this->blocks.begin() + static_cast<std::ptrdiff_t>(position) + 1,
       std::move(upper));
@@ -59,37 +60,37 @@
 void FreeCapacityIndex::EraseAt(std::size_t position,
                                 std::vector<Item>::iterator item) {
   Block& block = this->blocks[position];
-  const PackedRoom room = item->room;
+  const PackedResources room = item->room;
   block.items.erase(item);
   if (block.items.empty()) {
     this->blocks.erase(this->blocks.begin() +
                        static_cast<std::ptrdiff_t>(position));
     return;
   }
-  if (room.Touches(block.largest)) Measure(&block);
+  if (room.ReachesAny(block.largest)) UpdateLargest(&block);
 }
 
 void FreeCapacityIndex::Erase(const IndexKey& key) {
   if (this->blocks.empty()) return;
   const std::size_t position = this->BlockOf(key);
   std::vector<Item>& items = this->blocks[position].items;
-  const auto found = PlaceOf(key, &items);
-  if (found == items.end() || found->key.Order() != key.Order()) return;
+  const auto found = LowerBound(key, &items);
+  if (found == items.end() || found->key.SortKey() != key.SortKey()) return;
   this->EraseAt(position, found);
 }
 
 void FreeCapacityIndex::Move(const IndexKey& from, const IndexKey& to,
-                             const PackedRoom& room) {
+                             const PackedResources& room) {
   const std::size_t position = this->BlockOf(from);
   Block& block = this->blocks[position];
-  const auto found = PlaceOf(from, &block.items);
+  const auto found = LowerBound(from, &block.items);
   if (position != this->BlockOf(to)) {
     this->EraseAt(position, found);
     this->Insert(to, room);
     return;
   }
-  auto place = PlaceOf(to, &block.items);
-  const bool shrinks = found->room.Touches(block.largest);
+  auto place = LowerBound(to, &block.items);
+  const bool shrinks = found->room.ReachesAny(block.largest);
   *found = {to, room};
   // Only the items between the old and the new place are shifted.
   if (place > found) {
@@ -98,9 +99,9 @@
     std::rotate(place, found, found + 1);
   }
   if (shrinks) {
-    Measure(&block);
+    UpdateLargest(&block);
   } else {
-    block.largest.RaiseTo(room);
+    block.largest.RaiseToMax(room);
   }
 }
 
--- a/packages/core/src/ledger/free_capacity_index.h
+++ b/packages/core/src/ledger/free_capacity_index.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 #include "ledger/worker_entry.h"
 
 namespace mustardproxy::detail {
@@ -17,7 +17,7 @@
   WorkerIndex worker = 0;
 
   /// @return one number in the order of keys, then workers
-  [[nodiscard]] std::uint64_t Order() const {
+  [[nodiscard]] std::uint64_t SortKey() const {
     return (std::uint64_t{this->key} << 32) | this->worker;
   }
 };
@@ -33,42 +33,43 @@
  public:
   struct Item {
     IndexKey key;
-    PackedRoom room;
+    PackedResources room;
   };
 
-  void Insert(const IndexKey& key, const PackedRoom& room);
+  void Insert(const IndexKey& key, const PackedResources& room);
   void Erase(const IndexKey& key);
   /// Gives a worker that is in the index another key and room.
-  void Move(const IndexKey& from, const IndexKey& to, const PackedRoom& room);
+  void Move(const IndexKey& from, const IndexKey& to,
+            const PackedResources& room);
   void Clear();
 
   /// Calls `visit(item)` in ascending order of keys for each worker with room
   /// for `need`, from key `from` on, until it returns false.
   template <typename Visitor>
-  void VisitAscending(const PackedRoom& need, std::uint32_t from,
+  void VisitAscending(const PackedResources& need, std::uint32_t from,
                       Visitor visit) const;
   /// The same from the highest key down.
   template <typename Visitor>
-  void VisitDescending(const PackedRoom& need, Visitor visit) const;
+  void VisitDescending(const PackedResources& need, Visitor visit) const;
 
  private:
   struct Block {
     std::vector<Item> items;
-    PackedRoom largest;
+    PackedResources largest;
   };
   static constexpr std::size_t kBlockSize = 32;
 
   [[nodiscard]] std::size_t BlockOf(const IndexKey& key) const;
   void Split(std::size_t position);
   void EraseAt(std::size_t position, std::vector<Item>::iterator item);
-  static void Measure(Block* block);
+  static void UpdateLargest(Block* block);
 
   /// Never empty blocks; keys ascend within and across blocks.
   std::vector<Block> blocks;
 };
 
 template <typename Visitor>
-void FreeCapacityIndex::VisitAscending(const PackedRoom& need,
+void FreeCapacityIndex::VisitAscending(const PackedResources& need,
                                        std::uint32_t from,
                                        Visitor visit) const {
   if (this->blocks.empty()) return;
@@ -81,7 +82,7 @@
 }
 
 template <typename Visitor>
-void FreeCapacityIndex::VisitDescending(const PackedRoom& need,
+void FreeCapacityIndex::VisitDescending(const PackedResources& need,
                                         Visitor visit) const {
   for (auto block = this->blocks.rbegin(); block != this->blocks.rend();
        ++block) {
--- a/packages/core/src/ledger/room_table.h
+++ b/packages/core/src/ledger/free_resources_table.h
@@ -1,11 +1,11 @@
-#ifndef MUSTARDPROXY_CORE_SRC_LEDGER_ROOM_TABLE_H_
-#define MUSTARDPROXY_CORE_SRC_LEDGER_ROOM_TABLE_H_
+#ifndef MUSTARDPROXY_CORE_SRC_LEDGER_FREE_RESOURCES_TABLE_H_
+#define MUSTARDPROXY_CORE_SRC_LEDGER_FREE_RESOURCES_TABLE_H_
 
 #include <algorithm>
 #include <cstddef>
 #include <vector>
 
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 #include "ledger/worker_entry.h"
 
 namespace mustardproxy::detail {
@@ -15,43 +15,45 @@
 /// A flat array in blocks, each with the part-by-part maximum of what is free
 /// in it, so that a search skips blocks without room. Nothing is sorted, so a
 /// change costs one write and at most a look at one block.
-class RoomTable {
+class FreeResourcesTable {
  public:
   /// The table grows as far as `worker` asks.
-  void Set(WorkerIndex worker, const PackedRoom& room);
+  void Set(WorkerIndex worker, const PackedResources& room);
   /// Nothing fits there any more, not even an empty need.
   void Clear(WorkerIndex worker);
   /// @return part by part, the most that one worker has free
-  [[nodiscard]] PackedRoom Largest() const;
+  [[nodiscard]] PackedResources Largest() const;
 
   /// Calls `visit(worker, room)` for each worker with room for `need`, until it
   /// returns false.
   template <typename Visitor>
-  void Visit(const PackedRoom& need, Visitor visit) const;
+  void Visit(const PackedResources& need, Visitor visit) const;
 
  private:
   static constexpr std::size_t kBlockSize = 32;
-  static constexpr PackedRoom kNone{{-1, -1, -1, -1}};
+  static constexpr PackedResources kNone{{-1, -1, -1, -1}};
 
-  void Measure(std::size_t block);
+  void UpdateLargest(std::size_t block);
 
-  std::vector<PackedRoom> rooms;
-  std::vector<PackedRoom> largest;
+  std::vector<PackedResources> free_resources;
+  std::vector<PackedResources> largest;
 };
 
 template <typename Visitor>
-void RoomTable::Visit(const PackedRoom& need, Visitor visit) const {
+void FreeResourcesTable::Visit(const PackedResources& need,
+                               Visitor visit) const {
   for (std::size_t block = 0; block < this->largest.size(); ++block) {
     if (!need.FitsIn(this->largest[block])) continue;
     const std::size_t begin = block * kBlockSize;
-    const std::size_t end = std::min(begin + kBlockSize, this->rooms.size());
+    const std::size_t end =
+        std::min(begin + kBlockSize, this->free_resources.size());
     for (std::size_t i = begin; i < end; ++i) {
-      if (!need.FitsIn(this->rooms[i])) continue;
-      if (!visit(static_cast<WorkerIndex>(i), this->rooms[i])) return;
+      if (!need.FitsIn(this->free_resources[i])) continue;
+      if (!visit(static_cast<WorkerIndex>(i), this->free_resources[i])) return;
     }
   }
 }
 
 }  // namespace mustardproxy::detail
 
-#endif  // MUSTARDPROXY_CORE_SRC_LEDGER_ROOM_TABLE_H_
+#endif  // MUSTARDPROXY_CORE_SRC_LEDGER_FREE_RESOURCES_TABLE_H_
--- a/packages/core/src/ledger/gang_plan.cc
+++ b/packages/core/src/ledger/gang_plan.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// Free resources of the workers as they will be, release after release.
-class FutureRoom {
+class FutureCapacity {
  public:
-  FutureRoom(const WorkerTable& table, const GangNeed& need);
+  FutureCapacity(const WorkerTable& table, const GangDemand& need);
 
   void Release(const ExpectedRelease& release);
   [[nodiscard]] std::int64_t Total() const { return this->total; }
@@ -21,7 +21,7 @@
 
  private:
   const WorkerTable& table;
-  const GangNeed& need;
+  const GangDemand& need;
   std::vector<GangCandidate> candidates;
   /// Free of the candidate at the same position.
   std::vector<Resources> free;
@@ -29,12 +29,12 @@
   std::int64_t total = 0;
 };
 
-FutureRoom::FutureRoom(const WorkerTable& table, const GangNeed& need)
+FutureCapacity::FutureCapacity(const WorkerTable& table, const GangDemand& need)
     : table(table), need(need) {
   for (RackIndex rack = 0; rack < table.Racks().size(); ++rack) {
     for (const WorkerIndex worker : table.Racks()[rack].workers) {
       const WorkerEntry& entry = table.At(worker);
-      if (!entry.placeable || !Allowed(table, worker, need.avoid)) continue;
+      if (!entry.placeable || !IsAllowed(table, worker, need.avoid)) continue;
       const std::int64_t room =
           CountFitting(need.resources, table.Free(worker));
       this->positions.emplace(worker, this->candidates.size());
@@ -45,7 +45,7 @@
   }
 }
 
-void FutureRoom::Release(const ExpectedRelease& release) {
+void FutureCapacity::Release(const ExpectedRelease& release) {
   const auto worker = this->table.Find(release.worker);
   if (!worker) return;
   const auto position = this->positions.find(*worker);
@@ -59,15 +59,16 @@
   this->total += candidate.fitting_tasks;
 }
 
-std::span<const GangCandidate> FutureRoom::Candidates() const {
+std::span<const GangCandidate> FutureCapacity::Candidates() const {
   return this->candidates;
 }
 
 }  // namespace
 
-std::optional<GangPlan> PlanGang(const WorkerTable& table, const GangNeed& need,
+std::optional<GangPlan> PlanGang(const WorkerTable& table,
+                                 const GangDemand& need,
                                  std::span<const ExpectedRelease> releases) {
-  FutureRoom room(table, need);
+  FutureCapacity room(table, need);
   GangPlan plan;
   plan.at = need.now;
   for (const ExpectedRelease& release : releases) {
--- a/packages/core/src/ledger/gang_plan.h
+++ b/packages/core/src/ledger/gang_plan.h
@@ -11,7 +11,7 @@
 namespace mustardproxy::detail {
 
 /// A gang that waits for room.
-struct GangNeed {
+struct GangDemand {
   Resources resources;
   std::int32_t tasks = 1;
   Packing packing = Packing::kBestFit;
@@ -22,7 +22,7 @@
 /// See `Ledger::PlanGang`.
 /// @complexity linear in workers and releases
 [[nodiscard]] std::optional<GangPlan> PlanGang(
-    const WorkerTable& table, const GangNeed& need,
+    const WorkerTable& table, const GangDemand& need,
     std::span<const ExpectedRelease> releases);
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/ledger/gang_search.cc
+++ b/packages/core/src/ledger/gang_search.cc
@@ -7,13 +7,14 @@
 namespace {
 
 /// Candidates of one rack.
-struct RackRoom {
+struct RackCandidates {
   std::span<const GangCandidate> candidates;
   std::int64_t fitting_tasks = 0;
 };
 
-std::vector<RackRoom> GroupByRack(std::span<const GangCandidate> candidates) {
-  std::vector<RackRoom> racks;
+std::vector<RackCandidates> GroupByRack(
+    std::span<const GangCandidate> candidates) {
+  std::vector<RackCandidates> racks;
   std::size_t begin = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     if (i == begin) racks.push_back({});
@@ -28,10 +29,10 @@
 }
 
 /// @return the rack to use alone, or null if none can hold the whole gang
-const RackRoom* ChooseRack(std::span<const RackRoom> racks, std::int64_t tasks,
-                           Packing packing) {
-  const RackRoom* chosen = nullptr;
-  for (const RackRoom& rack : racks) {
+const RackCandidates* ChooseRack(std::span<const RackCandidates> racks,
+                                 std::int64_t tasks, Packing packing) {
+  const RackCandidates* chosen = nullptr;
+  for (const RackCandidates& rack : racks) {
     if (rack.fitting_tasks < tasks) continue;
     if (packing == Packing::kFirstFit) return &rack;
     const bool better =
@@ -45,8 +46,8 @@
 
 /// Fills one worker after the other, those with least fitting_tasks first
 /// unless the order is fixed; keeps large gaps whole.
-void FillTightly(std::vector<GangCandidate> candidates, std::int64_t tasks,
-                 Packing packing, std::vector<std::uint32_t>* gang) {
+void FillPacked(std::vector<GangCandidate> candidates, std::int64_t tasks,
+                Packing packing, std::vector<std::uint32_t>* gang) {
   if (packing == Packing::kBestFit) {
     std::ranges::stable_sort(candidates, {}, &GangCandidate::fitting_tasks);
   }
@@ -59,8 +60,8 @@
 }
 
 /// Gives each worker one task in turn, those with most fitting_tasks first.
-void FillEvenly(std::vector<GangCandidate> candidates, std::int64_t tasks,
-                std::vector<std::uint32_t>* gang) {
+void FillRoundRobin(std::vector<GangCandidate> candidates, std::int64_t tasks,
+                    std::vector<std::uint32_t>* gang) {
   std::ranges::stable_sort(candidates, std::ranges::greater{},
                            &GangCandidate::fitting_tasks);
   bool progress = true;
@@ -75,14 +76,14 @@
   }
 }
 
-void Fill(const RackRoom& rack, std::int64_t tasks, Packing packing,
+void Fill(const RackCandidates& rack, std::int64_t tasks, Packing packing,
           std::vector<std::uint32_t>* gang) {
   const std::vector<GangCandidate> candidates(rack.candidates.begin(),
                                               rack.candidates.end());
   if (packing == Packing::kSpread) {
-    FillEvenly(candidates, tasks, gang);
+    FillRoundRobin(candidates, tasks, gang);
   } else {
-    FillTightly(candidates, tasks, packing, gang);
+    FillPacked(candidates, tasks, packing, gang);
   }
 }
 
@@ -90,19 +91,19 @@
 
 std::vector<std::uint32_t> PlaceGang(std::span<const GangCandidate> candidates,
                                      std::int64_t tasks, Packing packing) {
-  std::vector<RackRoom> racks = GroupByRack(candidates);
+  std::vector<RackCandidates> racks = GroupByRack(candidates);
   std::vector<std::uint32_t> gang;
-  if (const RackRoom* rack = ChooseRack(racks, tasks, packing)) {
+  if (const RackCandidates* rack = ChooseRack(racks, tasks, packing)) {
     Fill(*rack, tasks, packing, &gang);
     return gang;
   }
   const std::int64_t fitting_tasks = std::transform_reduce(
       racks.begin(), racks.end(), std::int64_t{0}, std::plus<>(),
-      [](const RackRoom& rack) { return rack.fitting_tasks; });
+      [](const RackCandidates& rack) { return rack.fitting_tasks; });
   if (fitting_tasks < tasks) return {};
   std::ranges::stable_sort(racks, std::ranges::greater{},
-                           &RackRoom::fitting_tasks);
-  for (const RackRoom& rack : racks) Fill(rack, tasks, packing, &gang);
+                           &RackCandidates::fitting_tasks);
+  for (const RackCandidates& rack : racks) Fill(rack, tasks, packing, &gang);
   return gang;
 }
 
--- a/packages/core/src/ledger/ledger.cc
+++ b/packages/core/src/ledger/ledger.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "ledger/gang_plan.h"
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 #include "ledger/packing_policy.h"
 #include "ledger/worker_table.h"
 #include "mustardproxy/core/gang_search.h"
@@ -18,26 +18,26 @@
 namespace {
 
 /// Protects the sums from what a broken worker reports.
-constexpr Resources kMostCounted{detail::kLargestPart, detail::kLargestPart,
-                                 detail::kLargestPart, detail::kLargestPart};
+constexpr Resources kMaxCapacity{detail::kMaxComponent, detail::kMaxComponent,
+                                 detail::kMaxComponent, detail::kMaxComponent};
 
 }  // namespace
 
 struct Ledger::State {
   detail::WorkerTable table;
 
-  [[nodiscard]] Resources Room(WorkerIndex worker, HoldPolicy holds) const;
-  [[nodiscard]] std::vector<WorkerId> Names(
+  [[nodiscard]] Resources Available(WorkerIndex worker, HoldPolicy holds) const;
+  [[nodiscard]] std::vector<WorkerId> WorkerIds(
       std::span<const WorkerIndex> workers) const;
 };
 
-Resources Ledger::State::Room(WorkerIndex worker, HoldPolicy holds) const {
+Resources Ledger::State::Available(WorkerIndex worker, HoldPolicy holds) const {
   const Resources& free = this->table.Free(worker);
   if (holds == HoldPolicy::kIgnore) return free;
   return ClampToZero(free - this->table.At(worker).held);
 }
 
-std::vector<WorkerId> Ledger::State::Names(
+std::vector<WorkerId> Ledger::State::WorkerIds(
     std::span<const WorkerIndex> workers) const {
   std::vector<WorkerId> names;
   names.reserve(workers.size());
@@ -58,11 +58,11 @@
   WorkerEntry entry;
   entry.id = worker.id;
   entry.rack = worker.rack;
-  entry.capacity = ComponentMin(ClampToZero(report.capacity), kMostCounted);
-  entry.open = true;
+  entry.capacity = ComponentMin(ClampToZero(report.capacity), kMaxCapacity);
+  entry.registered = true;
   entry.placeable = !worker.leaving;
   for (const RunningTask& task : report.running) {
-    entry.Take(task.task, task.resources);
+    entry.AddTask(task.task, task.resources);
   }
   this->state->table.Add(std::move(entry));
 }
@@ -76,7 +76,7 @@
                           double share) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
-  WorkerEntry& entry = this->state->table.Edit(*found);
+  WorkerEntry& entry = this->state->table.MutableAt(*found);
   entry.placeable = placeable;
   entry.share = share;
   this->state->table.Refresh(*found);
@@ -86,10 +86,10 @@
                      const Resources& resources) {
   const auto found = this->state->table.Find(worker);
   if (!found) return false;
-  WorkerEntry& entry = this->state->table.Edit(*found);
+  WorkerEntry& entry = this->state->table.MutableAt(*found);
   if (!entry.placeable) return false;
   if (!resources.FitsIn(this->state->table.Free(*found))) return false;
-  if (!entry.Take(task, resources)) return false;
+  if (!entry.AddTask(task, resources)) return false;
   this->state->table.Refresh(*found);
   return true;
 }
@@ -97,7 +97,7 @@
 void Ledger::Release(const WorkerId& worker, const TaskId& task) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
-  this->state->table.Edit(*found).GiveBack(task);
+  this->state->table.MutableAt(*found).RemoveTask(task);
   this->state->table.Refresh(*found);
 }
 
@@ -105,8 +105,9 @@
                        std::span<const RunningTask> running) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
-  WorkerEntry& entry = this->state->table.Edit(*found);
-  for (const RunningTask& task : running) entry.Take(task.task, task.resources);
+  WorkerEntry& entry = this->state->table.MutableAt(*found);
+  for (const RunningTask& task : running)
+    entry.AddTask(task.task, task.resources);
   this->state->table.Refresh(*found);
 }
 
@@ -122,7 +123,7 @@
   for (const WorkerIndex worker : table.HeldWorkers()) {
     const WorkerEntry& entry = table.At(worker);
     if (!entry.placeable || !resources.FitsIn(table.Free(worker))) continue;
-    if (detail::Allowed(table, worker, avoid)) return entry.id;
+    if (detail::IsAllowed(table, worker, avoid)) return entry.id;
   }
   return std::nullopt;
 }
@@ -137,13 +138,14 @@
   for (detail::RackIndex rack = 0; rack < table.Racks().size(); ++rack) {
     for (const WorkerIndex worker : table.Racks()[rack].workers) {
       const WorkerEntry& entry = table.At(worker);
-      if (!entry.placeable || !detail::Allowed(table, worker, avoid)) continue;
+      if (!entry.placeable || !detail::IsAllowed(table, worker, avoid))
+        continue;
       const std::int64_t room =
-          CountFitting(resources, this->state->Room(worker, holds));
+          CountFitting(resources, this->state->Available(worker, holds));
       if (room > 0) candidates.push_back({worker, rack, room});
     }
   }
-  return this->state->Names(PlaceGang(candidates, tasks, packing));
+  return this->state->WorkerIds(PlaceGang(candidates, tasks, packing));
 }
 
 std::optional<GangPlan> Ledger::PlanGang(
@@ -213,7 +215,7 @@
 
 Resources Ledger::LargestFree() const {
   const detail::WorkerTable& table = this->state->table;
-  Resources largest = table.Rooms().Largest().Unpack();
+  Resources largest = table.FreeTable().Largest().Unpack();
   for (const WorkerIndex worker : table.HeldWorkers()) {
     largest = ComponentMax(largest, table.Free(worker));
   }
--- a/packages/core/src/ledger/packing_policy.cc
+++ b/packages/core/src/ledger/packing_policy.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <limits>
 
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 
 namespace mustardproxy::detail {
 namespace {
@@ -14,7 +14,7 @@
 /// Fitting workers that best fit compares, from the least free one up.
 constexpr int kBestFitCandidates = 8;
 
-/// Weight of leftover slots in a misfit: a slot is of use to every task.
+/// Weight of leftover slots in a cost: a slot is of use to every task.
 constexpr double kSlotWeight = 0.5;
 /// Weight of processors and memory left over out of proportion. With a low
 /// weight best fit strands as much as first fit; with a much higher one it
@@ -24,13 +24,14 @@
 /// @return how badly what would be left over on a worker can still be used:
 ///   its size, and how far processors and memory are out of proportion, since
 ///   one without the other is of no use to a later task
-double Misfit(const PackedRoom& room, const PackedRoom& need,
-              const CapacityScale& scale) {
-  const double cpu = (room.parts[0] - need.parts[0]) * scale.cpu;
-  const double memory = (room.parts[1] - need.parts[1]) * scale.memory;
+double LeftoverCost(const PackedResources& room, const PackedResources& need,
+                    const CapacityScale& scale) {
+  const double cpu = (room.components[0] - need.components[0]) * scale.cpu;
+  const double memory =
+      (room.components[1] - need.components[1]) * scale.memory;
   const double accelerators =
-      (room.parts[2] - need.parts[2]) * scale.accelerators;
-  const double slots = (room.parts[3] - need.parts[3]) * scale.slots;
+      (room.components[2] - need.components[2]) * scale.accelerators;
+  const double slots = (room.components[3] - need.components[3]) * scale.slots;
   const double size = cpu + memory + accelerators + kSlotWeight * slots;
   return size + kImbalanceWeight * std::abs(cpu - memory);
 }
@@ -38,21 +39,21 @@
 class BestFit final : public PackingPolicy {
  public:
   [[nodiscard]] std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const override;
+      const WorkerTable& table, const TaskDemand& need) const override;
 };
 
 std::optional<WorkerIndex> BestFit::Choose(const WorkerTable& table,
-                                           const PlacementNeed& need) const {
+                                           const TaskDemand& need) const {
   std::optional<WorkerIndex> best;
-  double best_misfit = std::numeric_limits<double>::infinity();
+  double lowest_cost = std::numeric_limits<double>::infinity();
   int seen = 0;
-  const PackedRoom packed = PackedRoom::Pack(need.resources);
+  const PackedResources packed = PackedResources::Pack(need.resources);
   const auto consider = [&](const Item& item) {
-    if (!Allowed(table, item.key.worker, need.avoid)) return true;
-    const double misfit = Misfit(item.room, packed, table.Scale());
-    if (misfit < best_misfit) {
+    if (!IsAllowed(table, item.key.worker, need.avoid)) return true;
+    const double cost = LeftoverCost(item.room, packed, table.Scale());
+    if (cost < lowest_cost) {
       best = item.key.worker;
-      best_misfit = misfit;
+      lowest_cost = cost;
     }
     return ++seen < kBestFitCandidates;
   };
@@ -64,33 +65,34 @@
 class FirstFit final : public PackingPolicy {
  public:
   [[nodiscard]] std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const override;
+      const WorkerTable& table, const TaskDemand& need) const override;
 };
 
 std::optional<WorkerIndex> FirstFit::Choose(const WorkerTable& table,
-                                            const PlacementNeed& need) const {
+                                            const TaskDemand& need) const {
   std::optional<WorkerIndex> first;
-  table.Rooms().Visit(PackedRoom::Pack(need.resources),
-                      [&](WorkerIndex worker, const PackedRoom&) {
-                        if (!Allowed(table, worker, need.avoid)) return true;
-                        first = worker;
-                        return false;
-                      });
+  table.FreeTable().Visit(PackedResources::Pack(need.resources),
+                          [&](WorkerIndex worker, const PackedResources&) {
+                            if (!IsAllowed(table, worker, need.avoid))
+                              return true;
+                            first = worker;
+                            return false;
+                          });
   return first;
 }
 
 class Spread final : public PackingPolicy {
  public:
   [[nodiscard]] std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const override;
+      const WorkerTable& table, const TaskDemand& need) const override;
 };
 
 std::optional<WorkerIndex> Spread::Choose(const WorkerTable& table,
-                                          const PlacementNeed& need) const {
+                                          const TaskDemand& need) const {
   std::optional<WorkerIndex> emptiest;
   table.BySize().VisitDescending(
-      PackedRoom::Pack(need.resources), [&](const Item& item) {
-        if (!Allowed(table, item.key.worker, need.avoid)) return true;
+      PackedResources::Pack(need.resources), [&](const Item& item) {
+        if (!IsAllowed(table, item.key.worker, need.avoid)) return true;
         emptiest = item.key.worker;
         return false;
       });
@@ -114,8 +116,8 @@
   return best_fit;
 }
 
-bool Allowed(const WorkerTable& table, WorkerIndex worker,
-             std::span<const WorkerId> avoid) {
+bool IsAllowed(const WorkerTable& table, WorkerIndex worker,
+               std::span<const WorkerId> avoid) {
   if (avoid.empty()) return true;
   return std::ranges::find(avoid, table.At(worker).id) == avoid.end();
 }
--- a/packages/core/src/ledger/packing_policy.h
+++ b/packages/core/src/ledger/packing_policy.h
@@ -10,7 +10,7 @@
 namespace mustardproxy::detail {
 
 /// What one task needs of a worker.
-struct PlacementNeed {
+struct TaskDemand {
   Resources resources;
   std::span<const WorkerId> avoid;
 };
@@ -25,15 +25,15 @@
 
   /// @return nothing if the task fits nowhere
   [[nodiscard]] virtual std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const = 0;
+      const WorkerTable& table, const TaskDemand& need) const = 0;
 };
 
 /// @return the policy that a profile names; it lives as long as the program
 [[nodiscard]] const PackingPolicy& PolicyFor(Packing packing);
 
 /// @return true if `worker` is none of `avoid`
-[[nodiscard]] bool Allowed(const WorkerTable& table, WorkerIndex worker,
-                           std::span<const WorkerId> avoid);
+[[nodiscard]] bool IsAllowed(const WorkerTable& table, WorkerIndex worker,
+                             std::span<const WorkerId> avoid);
 
 }  // namespace mustardproxy::detail
 
--- a/packages/core/src/ledger/resource_math.cc
+++ b/packages/core/src/ledger/resource_math.cc
@@ -5,12 +5,12 @@
 namespace mustardproxy {
 namespace {
 
-std::int64_t CountPart(std::int64_t task, std::int64_t room) {
+std::int64_t CountComponent(std::int64_t task, std::int64_t room) {
   if (task <= 0) return kUnboundedCount;
   return room <= 0 ? 0 : room / task;
 }
 
-double SharePart(std::int64_t used, std::int64_t total) {
+double ComponentShare(std::int64_t used, std::int64_t total) {
   if (total <= 0) return 0.0;
   return static_cast<double>(used) / static_cast<double>(total);
 }
@@ -33,23 +33,23 @@
   return ComponentMax(resources, Resources{});
 }
 
-Resources Times(const Resources& resources, std::int64_t count) {
+Resources Multiply(const Resources& resources, std::int64_t count) {
   return {resources.cpu_milli * count, resources.memory_mb * count,
           resources.accelerators * count, resources.slots * count};
 }
 
 std::int64_t CountFitting(const Resources& task, const Resources& room) {
-  return std::min({CountPart(task.cpu_milli, room.cpu_milli),
-                   CountPart(task.memory_mb, room.memory_mb),
-                   CountPart(task.accelerators, room.accelerators),
-                   CountPart(task.slots, room.slots)});
+  return std::min({CountComponent(task.cpu_milli, room.cpu_milli),
+                   CountComponent(task.memory_mb, room.memory_mb),
+                   CountComponent(task.accelerators, room.accelerators),
+                   CountComponent(task.slots, room.slots)});
 }
 
 double DominantShare(const Resources& used, const Resources& total) {
-  return std::max({SharePart(used.cpu_milli, total.cpu_milli),
-                   SharePart(used.memory_mb, total.memory_mb),
-                   SharePart(used.accelerators, total.accelerators),
-                   SharePart(used.slots, total.slots)});
+  return std::max({ComponentShare(used.cpu_milli, total.cpu_milli),
+                   ComponentShare(used.memory_mb, total.memory_mb),
+                   ComponentShare(used.accelerators, total.accelerators),
+                   ComponentShare(used.slots, total.slots)});
 }
 
 }  // namespace mustardproxy
--- a/packages/core/src/ledger/worker_entry.cc
+++ b/packages/core/src/ledger/worker_entry.cc
@@ -10,7 +10,7 @@
 
 /// A worker that returns from ejection gets one task at least, or it could
 /// never prove itself.
-std::int64_t AllowedSlots(std::int64_t slots, double share) {
+std::int64_t SlotLimit(std::int64_t slots, double share) {
   if (share >= 1.0) return slots;
   if (share <= 0.0) return 0;
   const double allowed = std::floor(static_cast<double>(slots) * share);
@@ -20,20 +20,20 @@
 }  // namespace
 
 Resources WorkerEntry::Free() const {
-  if (!this->open || !this->placeable) return {};
+  if (!this->registered || !this->placeable) return {};
   Resources free = this->capacity - this->used;
-  const std::int64_t allowed = AllowedSlots(this->capacity.slots, this->share);
+  const std::int64_t allowed = SlotLimit(this->capacity.slots, this->share);
   free.slots = std::min(free.slots, allowed - this->used.slots);
   return ClampToZero(free);
 }
 
-bool WorkerEntry::Take(const TaskId& task, const Resources& resources) {
+bool WorkerEntry::AddTask(const TaskId& task, const Resources& resources) {
   if (!this->tasks.emplace(task, resources).second) return false;
   this->used += resources;
   return true;
 }
 
-void WorkerEntry::GiveBack(const TaskId& task) {
+void WorkerEntry::RemoveTask(const TaskId& task) {
   const auto found = this->tasks.find(task);
   if (found == this->tasks.end()) return;
   this->used -= found->second;
--- a/packages/core/src/ledger/worker_entry.h
+++ b/packages/core/src/ledger/worker_entry.h
@@ -25,18 +25,18 @@
   /// Kept back for a gang.
   Resources held;
   std::unordered_map<TaskId, Resources> tasks;
-  bool open = false;
+  bool registered = false;
   bool placeable = true;
   /// Part of the slots that may be handed out, in 0..1.
   double share = 1.0;
 
   /// @return what new tasks may take, holds left out of account
   [[nodiscard]] Resources Free() const;
-  /// Counts a task; one that is known already is not counted again.
+  /// Counts a task; one that is known already is not indexed again.
   /// @return false if it was known
-  bool Take(const TaskId& task, const Resources& resources);
+  bool AddTask(const TaskId& task, const Resources& resources);
   /// Gives a task's resources back; an unknown one is ignored.
-  void GiveBack(const TaskId& task);
+  void RemoveTask(const TaskId& task);
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/ledger/worker_table.cc
+++ b/packages/core/src/ledger/worker_table.cc
@@ -11,7 +11,7 @@
 /// Steps per part of a size key.
 constexpr double kSizeSteps = 4096;
 
-double UnitOf(std::int64_t whole) {
+double Reciprocal(std::int64_t whole) {
   return whole <= 0 ? 0.0 : 1.0 / static_cast<double>(whole);
 }
 
@@ -27,7 +27,7 @@
   return this->entries[worker];
 }
 
-WorkerEntry& WorkerTable::Edit(WorkerIndex worker) {
+WorkerEntry& WorkerTable::MutableAt(WorkerIndex worker) {
   return this->entries[worker];
 }
 
@@ -39,7 +39,9 @@
   return this->held;
 }
 
-const RoomTable& WorkerTable::Rooms() const { return this->rooms; }
+const FreeResourcesTable& WorkerTable::FreeTable() const {
+  return this->free_table;
+}
 
 const FreeCapacityIndex& WorkerTable::BySize() const { return this->by_size; }
 
@@ -54,7 +56,7 @@
 const Resources& WorkerTable::TotalFree() const { return this->total_free; }
 
 const Resources& WorkerTable::Free(WorkerIndex worker) const {
-  return this->counted[worker].free;
+  return this->indexed[worker].free;
 }
 
 std::uint32_t WorkerTable::SizeKey(const Resources& resources) const {
@@ -77,38 +79,38 @@
   if (this->unused.empty()) {
     this->unused.push_back(static_cast<WorkerIndex>(this->entries.size()));
     this->entries.emplace_back();
-    this->counted.emplace_back();
+    this->indexed.emplace_back();
   }
   const WorkerIndex worker = this->unused.back();
   this->unused.pop_back();
   this->by_id.emplace(entry.id, worker);
-  this->counted[worker] = Counted{};
-  this->counted[worker].rack = this->RackOf(entry.rack);
-  this->racks[this->counted[worker].rack].workers.push_back(worker);
+  this->indexed[worker] = IndexedState{};
+  this->indexed[worker].rack = this->RackOf(entry.rack);
+  this->racks[this->indexed[worker].rack].workers.push_back(worker);
   this->entries[worker] = std::move(entry);
-  this->rooms.Set(worker, {});
+  this->free_table.Set(worker, {});
   this->by_size.Insert({0, worker}, {});
-  this->CountCapacity(this->entries[worker].capacity, 1);
+  this->AdjustCapacity(this->entries[worker].capacity, 1);
   this->Refresh(worker);
 }
 
 void WorkerTable::Remove(WorkerIndex worker) {
   WorkerEntry& entry = this->entries[worker];
   this->Hold(worker, {});
-  entry.open = false;
+  entry.registered = false;
   this->Refresh(worker);
-  this->rooms.Clear(worker);
-  this->by_size.Erase({this->counted[worker].size_key, worker});
-  std::erase(this->racks[this->counted[worker].rack].workers, worker);
+  this->free_table.Clear(worker);
+  this->by_size.Erase({this->indexed[worker].size_key, worker});
+  std::erase(this->racks[this->indexed[worker].rack].workers, worker);
   this->by_id.erase(entry.id);
   const Resources capacity = entry.capacity;
   entry = WorkerEntry{};
   this->unused.push_back(worker);
-  this->CountCapacity(capacity, -1);
+  this->AdjustCapacity(capacity, -1);
 }
 
-void WorkerTable::CountCapacity(const Resources& capacity,
-                                std::int64_t workers) {
+void WorkerTable::AdjustCapacity(const Resources& capacity,
+                                 std::int64_t workers) {
   auto found =
       std::ranges::find(this->classes, capacity, &CapacityClass::capacity);
   if (found == this->classes.end()) {
@@ -116,30 +118,30 @@
   }
   found->workers += workers;
   if (found->workers == 0) this->classes.erase(found);
-  this->total_capacity += Times(capacity, workers);
+  this->total_capacity += Multiply(capacity, workers);
   Resources largest;
   for (const CapacityClass& kind : this->classes) {
     largest = ComponentMax(largest, kind.capacity);
   }
   if (largest == this->largest_capacity) return;
   this->largest_capacity = largest;
-  this->scale = {UnitOf(largest.cpu_milli), UnitOf(largest.memory_mb),
-                 UnitOf(largest.accelerators), UnitOf(largest.slots)};
+  this->scale = {Reciprocal(largest.cpu_milli), Reciprocal(largest.memory_mb),
+                 Reciprocal(largest.accelerators), Reciprocal(largest.slots)};
   this->RebuildSizeIndex();
 }
 
 void WorkerTable::RebuildSizeIndex() {
   this->by_size.Clear();
   for (const auto& [id, worker] : this->by_id) {
-    Counted& known = this->counted[worker];
-    known.size_key = this->SizeKey(known.unheld);
+    IndexedState& known = this->indexed[worker];
+    known.size_key = this->SizeKey(known.available);
     this->by_size.Insert({known.size_key, worker},
-                         PackedRoom::Pack(known.unheld));
+                         PackedResources::Pack(known.available));
   }
 }
 
 void WorkerTable::Refresh(WorkerIndex worker) {
-  Counted& known = this->counted[worker];
+  IndexedState& known = this->indexed[worker];
   const WorkerEntry& entry = this->entries[worker];
   const Resources free = entry.Free();
   const Resources change = free - known.free;
@@ -152,14 +154,14 @@
   this->Reindex(worker, ClampToZero(free - entry.held));
 }
 
-void WorkerTable::Reindex(WorkerIndex worker, const Resources& unheld) {
-  Counted& known = this->counted[worker];
-  if (unheld == known.unheld) return;
-  const PackedRoom room = PackedRoom::Pack(unheld);
+void WorkerTable::Reindex(WorkerIndex worker, const Resources& available) {
+  IndexedState& known = this->indexed[worker];
+  if (available == known.available) return;
+  const PackedResources room = PackedResources::Pack(available);
   const IndexKey from{known.size_key, worker};
-  known.unheld = unheld;
-  known.size_key = this->SizeKey(unheld);
-  this->rooms.Set(worker, room);
+  known.available = available;
+  known.size_key = this->SizeKey(available);
+  this->free_table.Set(worker, room);
   this->by_size.Move(from, {known.size_key, worker}, room);
 }
 
@@ -183,7 +185,7 @@
   this->tracked = task;
   this->tracked_fit_count = 0;
   for (const auto& [id, worker] : this->by_id) {
-    Counted& known = this->counted[worker];
+    IndexedState& known = this->indexed[worker];
     known.tracked_fit_count = CountFitting(task, known.free);
     this->tracked_fit_count += known.tracked_fit_count;
   }
--- a/packages/core/src/ledger/worker_table.h
+++ b/packages/core/src/ledger/worker_table.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "ledger/free_capacity_index.h"
-#include "ledger/room_table.h"
+#include "ledger/free_resources_table.h"
 #include "ledger/worker_entry.h"
 #include "mustardproxy/core/resources.h"
 
@@ -40,7 +40,7 @@
 
 /// Open workers with everything derived from them: indexes over free
 /// resources, sums, racks. Derived values are brought up to date in one place,
-/// `Refresh`, by the difference to what was counted last.
+/// `Refresh`, by the difference to what was indexed last.
 class WorkerTable {
  public:
   /// Adds an open worker, which must not be known yet.
@@ -49,7 +49,7 @@
   [[nodiscard]] std::optional<WorkerIndex> Find(const WorkerId& worker) const;
   [[nodiscard]] const WorkerEntry& At(WorkerIndex worker) const;
   /// Changes to the entry count once `Refresh` has been called for it.
-  [[nodiscard]] WorkerEntry& Edit(WorkerIndex worker);
+  [[nodiscard]] WorkerEntry& MutableAt(WorkerIndex worker);
   void Refresh(WorkerIndex worker);
   /// Sets what is held back there for a gang.
   void Hold(WorkerIndex worker, const Resources& resources);
@@ -62,7 +62,7 @@
   [[nodiscard]] std::span<const CapacityClass> Classes() const;
   [[nodiscard]] std::span<const WorkerIndex> HeldWorkers() const;
   /// Free without holds, in the fixed order of the table.
-  [[nodiscard]] const RoomTable& Rooms() const;
+  [[nodiscard]] const FreeResourcesTable& FreeTable() const;
   /// Free without holds, by `SizeKey`.
   [[nodiscard]] const FreeCapacityIndex& BySize() const;
   [[nodiscard]] const Resources& TotalCapacity() const;
@@ -79,29 +79,29 @@
   [[nodiscard]] const CapacityScale& Scale() const { return this->scale; }
 
  private:
-  /// What was last counted of a worker.
-  struct Counted {
+  /// What was last indexed of a worker.
+  struct IndexedState {
     Resources free;
-    Resources unheld;
+    Resources available;
     std::uint32_t size_key = 0;
     std::int64_t tracked_fit_count = 0;
     RackIndex rack = 0;
   };
 
   [[nodiscard]] RackIndex RackOf(const RackId& rack);
-  void CountCapacity(const Resources& capacity, std::int64_t workers);
-  void Reindex(WorkerIndex worker, const Resources& unheld);
+  void AdjustCapacity(const Resources& capacity, std::int64_t workers);
+  void Reindex(WorkerIndex worker, const Resources& available);
   void RebuildSizeIndex();
 
   std::vector<WorkerEntry> entries;
-  std::vector<Counted> counted;
+  std::vector<IndexedState> indexed;
   std::vector<WorkerIndex> unused;
   std::unordered_map<WorkerId, WorkerIndex> by_id;
   std::vector<Rack> racks;
   std::unordered_map<RackId, RackIndex> rack_by_id;
   std::vector<CapacityClass> classes;
   std::vector<WorkerIndex> held;
-  RoomTable rooms;
+  FreeResourcesTable free_table;
   FreeCapacityIndex by_size;
   Resources total_capacity;
   Resources largest_capacity;
--- a/packages/core/src/scheduler/catalog.cc
+++ b/packages/core/src/scheduler/catalog.cc
@@ -71,7 +71,7 @@
   entry.known = true;
   entry.resources = service.resources;
   entry.tasks = std::max(service.tasks, 1);
-  entry.all_tasks = Times(entry.resources, entry.tasks);
+  entry.all_tasks = Multiply(entry.resources, entry.tasks);
   entry.profile = profile;
   entry.declared_run = std::max(service.expected_run, Duration(1));
 }
--- a/packages/core/src/scheduler/gang_reservation.cc
+++ b/packages/core/src/scheduler/gang_reservation.cc
@@ -65,7 +65,7 @@
     freed[release.worker] += release.resources;
   }
   for (const auto& [worker, count] : this->planned) {
-    const Resources needed = Times(this->task, count);
+    const Resources needed = Multiply(this->task, count);
     ledger->Hold(worker, ClampToZero(needed - freed[worker]));
   }
 }
@@ -94,7 +94,7 @@
       std::max(usable, found == this->planned.end() ? 0 : found->second);
   if (count == 0) return;
   this->planned[worker] = count;
-  const Resources needed = Times(this->task, count);
+  const Resources needed = Multiply(this->task, count);
   ledger->Hold(worker,
                ComponentMin(needed, ledger->HeldResources(worker) + resources));
 }
--- a/packages/core/src/scheduler/placement_pass.cc
+++ b/packages/core/src/scheduler/placement_pass.cc
@@ -220,7 +220,7 @@
     std::size_t next = i;
     while (next < workers.size() && workers[next] == workers[i]) ++next;
     const Resources taken =
-        Times(service.resources, static_cast<std::int64_t>(next - i));
+        Multiply(service.resources, static_cast<std::int64_t>(next - i));
     left -= this->ledger->TrackedFitCount() -
             this->ledger->TrackedFitCountWithout(workers[i], taken);
     i = next;
