--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -13,16 +13,16 @@
 namespace {
 
 /// Longest time after which callers are told to come back.
-constexpr Duration kMostRetryAfter = std::chrono::minutes(10);
+constexpr Duration kMaxRetryAfter = std::chrono::minutes(10);
 /// Tenth of a profile's queue that only teams below their share may fill.
-constexpr std::int64_t kKeptPartOfQueue = 10;
+constexpr std::int64_t kReservedQueueDivisor = 10;
 
-struct NamedPart {
+struct NamedResource {
   std::string_view name;
   std::int64_t Resources::*part;
 };
 
-constexpr NamedPart kParts[] = {
+constexpr NamedResource kNamedResources[] = {
     {"cpu_milli", &Resources::cpu_milli},
     {"memory_mb", &Resources::memory_mb},
     {"accelerators", &Resources::accelerators},
@@ -30,13 +30,13 @@
 };
 
 Duration BoundRetryAfter(Duration wait) {
-  return std::clamp(wait, kLeastRetryAfter, kMostRetryAfter);
+  return std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
 }
 
 std::string DescribeAll(const Resources& resources) {
   std::ostringstream text;
-  for (const NamedPart& part : kParts) {
-    if (&part != &kParts[0]) text << ", ";
+  for (const NamedResource& part : kNamedResources) {
+    if (&part != &kNamedResources[0]) text << ", ";
     text << resources.*part.part << ' ' << part.name;
   }
   return text.str();
@@ -44,7 +44,7 @@
 
 std::string DescribeTooLarge(const Resources& task, const Resources& largest) {
   std::ostringstream text;
-  for (const NamedPart& part : kParts) {
+  for (const NamedResource& part : kNamedResources) {
     if (task.*part.part <= largest.*part.part) continue;
     text << "a task needs " << task.*part.part << ' ' << part.name
          << "; the largest worker has " << largest.*part.part;
@@ -57,7 +57,7 @@
 
 std::string DescribeQuota(const Resources& all, const TeamEntry& team) {
   std::ostringstream text;
-  for (const NamedPart& part : kParts) {
+  for (const NamedResource& part : kNamedResources) {
     const std::int64_t limit = team.quota.*part.part;
     if (limit <= 0 || all.*part.part <= limit) continue;
     text << "the request needs " << all.*part.part << ' ' << part.name
@@ -69,7 +69,7 @@
 
 Admission CheckFit(const Ledger& ledger, const ServiceEntry& service) {
   if (ledger.WorkerCount() == 0) {
-    return {Error::kNoWorker, "this process owns no worker", kLeastRetryAfter};
+    return {Error::kNoWorker, "this process owns no worker", kMinRetryAfter};
   }
   if (!ledger.CouldEverFit(service.resources)) {
     return {Error::kNeverFits,
@@ -101,7 +101,7 @@
   const std::int64_t own =
       team < counts.by_team.size() ? counts.by_team[team] : 0;
   const bool below_share = static_cast<double>(own) < fair;
-  const std::int64_t kept = below_share ? 0 : limit / kKeptPartOfQueue;
+  const std::int64_t kept = below_share ? 0 : limit / kReservedQueueDivisor;
   if (counts.all < limit - kept) return {};
   std::ostringstream text;
   text << counts.all << " requests of profile " << service.profile.id
@@ -112,8 +112,8 @@
 }
 
 Admission CheckQuota(const ServiceEntry& service, const TeamEntry& team) {
-  if (WithinQuota(service.all_tasks, team.quota)) return {};
-  return {Error::kQuotaExceeded, DescribeQuota(service.all_tasks, team),
+  if (WithinQuota(service.request_resources, team.quota)) return {};
+  return {Error::kQuotaExceeded, DescribeQuota(service.request_resources, team),
           Duration(0)};
 }
 
--- a/packages/core/src/scheduler/admission.h
+++ b/packages/core/src/scheduler/admission.h
@@ -15,7 +15,7 @@
                                        ServiceIndex service, TeamIndex team);
 
 /// Shortest time after which callers are told to come back.
-inline constexpr Duration kLeastRetryAfter = std::chrono::seconds(1);
+inline constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 }  // namespace mustardproxy::detail
 
--- a/packages/core/src/scheduler/catalog.h
+++ b/packages/core/src/scheduler/catalog.h
@@ -20,29 +20,29 @@
   ServiceId id;
   /// False once the configuration no longer names it; what is queued of it
   /// goes on by its last definition.
-  bool known = false;
+  bool configured = false;
   Resources resources;
   std::int32_t tasks = 1;
   /// Taken by all tasks of a request together.
-  Resources all_tasks;
+  Resources request_resources;
   Profile profile;
-  Duration declared_run{0};
+  Duration declared_run_time{0};
   RunTimes run_times;
   /// Requests, whether accepted or not.
   ArrivalRate arrivals;
   std::int64_t running_tasks = 0;
 
   /// The declared time is only used until there is a sample.
-  [[nodiscard]] Duration ExpectedRun() const;
-  [[nodiscard]] Duration LongRun() const;
-  [[nodiscard]] Duration MeanRun() const;
+  [[nodiscard]] Duration ExpectedRunTime() const;
+  [[nodiscard]] Duration P90RunTime() const;
+  [[nodiscard]] Duration MeanRunTime() const;
   [[nodiscard]] Duration ExpectedRemaining(Duration elapsed) const;
 };
 
 /// A team with what its running tasks hold.
 struct TeamEntry {
   TeamId id;
-  bool known = false;
+  bool configured = false;
   double weight = 1.0;
   Resources quota;
   Resources used;
@@ -59,9 +59,9 @@
 class Catalog {
  public:
   void Configure(const Configuration& configuration);
-  /// @return the number of a service, known or not, added if new
-  ServiceIndex ServiceNumber(const ServiceId& id);
-  TeamIndex TeamNumber(const TeamId& id);
+  /// @return the number of a service, configured or not, added if new
+  ServiceIndex FindOrAddService(const ServiceId& id);
+  TeamIndex FindOrAddTeam(const TeamId& id);
   [[nodiscard]] std::optional<ServiceIndex> FindService(
       const ServiceId& id) const;
   [[nodiscard]] std::optional<TeamIndex> FindTeam(const TeamId& id) const;
@@ -79,8 +79,8 @@
 
   std::vector<ServiceEntry> services;
   std::vector<TeamEntry> teams;
-  std::unordered_map<ServiceId, ServiceIndex> service_numbers;
-  std::unordered_map<TeamId, TeamIndex> team_numbers;
+  std::unordered_map<ServiceId, ServiceIndex> service_indexes;
+  std::unordered_map<TeamId, TeamIndex> team_indexes;
   double total_weight = 0;
 };
 
--- a/packages/core/src/scheduler/gang_reservation.cc
+++ b/packages/core/src/scheduler/gang_reservation.cc
@@ -10,7 +10,7 @@
 
 /// A plan costs a pass over all running tasks, so the more run the less often
 /// it is made.
-constexpr Duration kLeastPlanInterval = std::chrono::milliseconds(50);
+constexpr Duration kMinPlanInterval = std::chrono::milliseconds(50);
 constexpr Duration kPlanIntervalPerTask = std::chrono::microseconds(25);
 
 }  // namespace
@@ -28,20 +28,22 @@
   return other < this->priority;
 }
 
-bool GangReservation::MayBeTaken(Instant now, std::int32_t by_priority) const {
+bool GangReservation::IsAvailableTo(Instant now,
+                                    std::int32_t by_priority) const {
   if (this->Active()) return this->OutrankedBy(by_priority);
-  return !this->next_plan || now >= *this->next_plan;
+  return !this->next_plan_time || now >= *this->next_plan_time;
 }
 
-void GangReservation::Take(Instant now, const ReservationNeed& need,
-                           const RunningTasks& running, const Catalog& catalog,
-                           Ledger* ledger) {
+void GangReservation::ReserveFor(Instant now, const ReservationRequest& need,
+                                 const RunningTasks& running,
+                                 const Catalog& catalog, Ledger* ledger) {
   const RequestId holder = need.request;
-  this->Drop(ledger);
+  this->Clear(ledger);
   const auto tasks = static_cast<std::int64_t>(running.Size());
-  this->next_plan =
-      now + std::max(kLeastPlanInterval, kPlanIntervalPerTask * tasks);
-  const std::vector<ExpectedRelease> releases = running.Releases(now, catalog);
+  this->next_plan_time =
+      now + std::max(kMinPlanInterval, kPlanIntervalPerTask * tasks);
+  const std::vector<ExpectedRelease> releases =
+      running.ExpectedReleases(now, catalog);
   const ServiceEntry& service = *need.service;
   const std::optional<GangPlan> plan =
       ledger->PlanGang(service.resources, service.tasks,
@@ -51,12 +53,12 @@
   this->priority = service.profile.priority;
   this->task = service.resources;
   this->start = plan->at;
-  this->HoldRoom(*plan, releases, ledger);
+  this->HoldCapacity(*plan, releases, ledger);
 }
 
-void GangReservation::HoldRoom(const GangPlan& plan,
-                               std::span<const ExpectedRelease> releases,
-                               Ledger* ledger) {
+void GangReservation::HoldCapacity(const GangPlan& plan,
+                                   std::span<const ExpectedRelease> releases,
+                                   Ledger* ledger) {
   for (const WorkerId& worker : plan.workers) ++this->planned[worker];
   std::unordered_map<WorkerId, Resources> freed;
   for (const ExpectedRelease& release : releases) {
@@ -70,19 +72,20 @@
   }
 }
 
-void GangReservation::Drop(Ledger* ledger) {
+void GangReservation::Clear(Ledger* ledger) {
   if (!this->Active()) return;
   this->request.reset();
   this->planned.clear();
   ledger->ClearHolds();
 }
 
-bool GangReservation::PlanIsOld(Instant now) const {
-  return this->Active() && now >= *this->next_plan;
+bool GangReservation::PlanIsStale(Instant now) const {
+  return this->Active() && now >= *this->next_plan_time;
 }
 
-void GangReservation::OnFreed(const WorkerId& worker,
-                              const Resources& resources, Ledger* ledger) {
+void GangReservation::OnResourcesReleased(const WorkerId& worker,
+                                          const Resources& resources,
+                                          Ledger* ledger) {
   if (!this->Active()) return;
   // Expected ends are often wrong. Whatever comes free, also elsewhere than
   // planned, is held until the next plan sorts out what is needed: else small
@@ -99,16 +102,16 @@
                ComponentMin(needed, ledger->HeldResources(worker) + resources));
 }
 
-HoldPolicy GangReservation::HoldsFor(Instant now,
-                                     const ServiceEntry& service) const {
+HoldPolicy GangReservation::HoldPolicyFor(Instant now,
+                                          const ServiceEntry& service) const {
   if (!this->Active()) return HoldPolicy::kRespect;
   if (this->OutrankedBy(service.profile.priority)) return HoldPolicy::kIgnore;
-  const bool ends_before = now + service.LongRun() <= this->start;
+  const bool ends_before = now + service.P90RunTime() <= this->start;
   return ends_before ? HoldPolicy::kIgnore : HoldPolicy::kRespect;
 }
 
-std::int64_t GangReservation::HeldRoomFor(const Resources& size,
-                                          const Ledger& ledger) const {
+std::int64_t GangReservation::CountFittingInHolds(const Resources& size,
+                                                  const Ledger& ledger) const {
   std::int64_t room = 0;
   for (const auto& [worker, count] : this->planned) {
     room += CountFitting(size, ledger.HeldResources(worker));
@@ -116,8 +119,8 @@
   return room;
 }
 
-std::optional<Instant> GangReservation::NextPlan() const {
-  return this->Active() ? this->next_plan : std::nullopt;
+std::optional<Instant> GangReservation::NextPlanTime() const {
+  return this->Active() ? this->next_plan_time : std::nullopt;
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/scheduler/gang_reservation.h
+++ b/packages/core/src/scheduler/gang_reservation.h
@@ -14,13 +14,13 @@
 namespace mustardproxy::detail {
 
 /// A request that does not fit now and is to have room kept for it.
-struct ReservationNeed {
+struct ReservationRequest {
   RequestId request;
   const ServiceEntry* service = nullptr;
   std::span<const WorkerId> avoid;
 };
 
-/// Room promised to the first gang (or large task) that does not fit.
+/// Room pending to the first gang (or large task) that does not fit.
 ///
 /// Without it small tasks take each gap as it opens, and a gang starves. The
 /// reservation names the workers and the moment, worked out from the expected
@@ -41,29 +41,29 @@
   /// urgent work outranks it.
   void SetGuaranteed(bool guaranteed) { this->guaranteed = guaranteed; }
   /// @return true if work of this priority may take the reservation now
-  [[nodiscard]] bool MayBeTaken(Instant now, std::int32_t by_priority) const;
+  [[nodiscard]] bool IsAvailableTo(Instant now, std::int32_t by_priority) const;
   /// Plans for a request and holds room for it; drops any other reservation.
   /// Nothing is held if it is not expected to fit at all.
-  void Take(Instant now, const ReservationNeed& need,
-            const RunningTasks& running, const Catalog& catalog,
-            Ledger* ledger);
-  void Drop(Ledger* ledger);
+  void ReserveFor(Instant now, const ReservationRequest& need,
+                  const RunningTasks& running, const Catalog& catalog,
+                  Ledger* ledger);
+  void Clear(Ledger* ledger);
   /// @return true if the plan is old and should be made again
-  [[nodiscard]] bool PlanIsOld(Instant now) const;
+  [[nodiscard]] bool PlanIsStale(Instant now) const;
   /// Room freed on a worker becomes held as far as the gang can use it.
-  void OnFreed(const WorkerId& worker, const Resources& resources,
-               Ledger* ledger);
+  void OnResourcesReleased(const WorkerId& worker, const Resources& resources,
+                           Ledger* ledger);
   /// @return whether work may use held room
-  [[nodiscard]] HoldPolicy HoldsFor(Instant now,
-                                    const ServiceEntry& service) const;
+  [[nodiscard]] HoldPolicy HoldPolicyFor(Instant now,
+                                         const ServiceEntry& service) const;
   /// @return how many tasks of this size fit into what is held
-  [[nodiscard]] std::int64_t HeldRoomFor(const Resources& task,
-                                         const Ledger& ledger) const;
-  [[nodiscard]] std::optional<Instant> NextPlan() const;
+  [[nodiscard]] std::int64_t CountFittingInHolds(const Resources& task,
+                                                 const Ledger& ledger) const;
+  [[nodiscard]] std::optional<Instant> NextPlanTime() const;
 
  private:
-  void HoldRoom(const GangPlan& plan, std::span<const ExpectedRelease> releases,
-                Ledger* ledger);
+  void HoldCapacity(const GangPlan& plan,
+                    std::span<const ExpectedRelease> releases, Ledger* ledger);
 
   std::optional<RequestId> request;
   std::int32_t priority = 0;
@@ -71,7 +71,7 @@
   Resources task;
   /// When the gang is expected to start.
   Instant start;
-  std::optional<Instant> next_plan;
+  std::optional<Instant> next_plan_time;
   /// Tasks of the gang planned on each worker.
   std::unordered_map<WorkerId, std::int64_t> planned;
 };
--- a/packages/core/src/scheduler/headroom.cc
+++ b/packages/core/src/scheduler/headroom.cc
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr Duration kUpdateInterval = std::chrono::milliseconds(100);
-constexpr double kMostDeviations = 3.0;
-constexpr double kLeastDeviations = 1.0;
+constexpr double kMaxDeviations = 3.0;
+constexpr double kMinDeviations = 1.0;
 /// Wait that does no harm, as a part of the shortest that an urgent profile
 /// allows.
-constexpr double kWindowPart = 0.1;
-constexpr std::int32_t kLastGrade = 8;
+constexpr double kWaitWindowFraction = 0.1;
+constexpr std::int32_t kMaxPriorityShift = 8;
 /// Part of the emptied cell that is kept free at most.
-constexpr std::int64_t kLargestPart = 2;
+constexpr std::int64_t kMaxHeadroomDivisor = 2;
 /// Tasks at once below which a service has stopped arriving.
-constexpr double kLeastLoad = 0.01;
+constexpr double kMinUrgentLoad = 0.01;
 
 /// Urgent tasks that run at once on average, and their mean size.
 struct UrgentLoad {
@@ -31,7 +31,8 @@
 };
 
 void AddService(const ServiceEntry& service, Instant now, UrgentLoad* load) {
-  const double run = std::chrono::duration<double>(service.MeanRun()).count();
+  const double run =
+      std::chrono::duration<double>(service.MeanRunTime()).count();
   const double tasks = service.arrivals.PerSecond(now) * service.tasks * run;
   const Resources& size = service.resources;
   load->tasks += tasks;
@@ -39,13 +40,13 @@
   load->memory_mb += tasks * static_cast<double>(size.memory_mb);
   load->accelerators += tasks * static_cast<double>(size.accelerators);
   load->slots += tasks * static_cast<double>(size.slots);
-  if (tasks >= kLeastLoad) {
+  if (tasks >= kMinUrgentLoad) {
     load->shortest_wait =
         std::min(load->shortest_wait, service.profile.max_wait);
   }
 }
 
-Resources MeanTask(const UrgentLoad& load) {
+Resources MeanTaskOf(const UrgentLoad& load) {
   const auto part = [&load](double sum) {
     return static_cast<std::int64_t>(std::ceil(sum / load.tasks));
   };
@@ -63,36 +64,39 @@
     const ServiceEntry& service = catalog.ServiceAt(i);
     if (service.profile.priority == 0) AddService(service, now, &load);
   }
-  this->mean = 0;
+  this->mean_tasks = 0;
   if (load.shortest_wait == Duration::max()) return;
-  this->mean = load.tasks;
-  this->task = MeanTask(load);
+  this->mean_tasks = load.tasks;
+  this->task = MeanTaskOf(load);
   this->task_share = DominantShare(this->task, ledger->TotalCapacity());
   this->window_seconds =
-      std::chrono::duration<double>(load.shortest_wait).count() * kWindowPart;
-  this->most = ledger->CountFittingWhenIdle(this->task) / kLargestPart;
+      std::chrono::duration<double>(load.shortest_wait).count() *
+      kWaitWindowFraction;
+  this->max_tasks =
+      ledger->CountFittingWhenIdle(this->task) / kMaxHeadroomDivisor;
   ledger->TrackFitCount(this->task);
 }
 
-void Headroom::FollowOtherWork(double share_per_second) {
-  this->other_ends_per_second =
+void Headroom::SetNonUrgentReleaseRate(double share_per_second) {
+  this->non_urgent_ends_per_second =
       this->task_share <= 0 ? 0 : share_per_second / this->task_share;
 }
 
-std::int64_t Headroom::Wanted() const {
-  if (this->mean <= 0) return 0;
-  const double deviation = std::sqrt(this->mean);
-  const double freed = this->other_ends_per_second * this->window_seconds;
+std::int64_t Headroom::ReservedTasks() const {
+  if (this->mean_tasks <= 0) return 0;
+  const double deviation = std::sqrt(this->mean_tasks);
+  const double freed = this->non_urgent_ends_per_second * this->window_seconds;
   const double above =
-      std::clamp(kMostDeviations * deviation - freed,
-                 kLeastDeviations * deviation, kMostDeviations * deviation);
-  const auto target = static_cast<std::int64_t>(std::ceil(this->mean + above));
-  return std::clamp<std::int64_t>(target - this->running, 0, this->most);
+      std::clamp(kMaxDeviations * deviation - freed, kMinDeviations * deviation,
+                 kMaxDeviations * deviation);
+  const auto target =
+      static_cast<std::int64_t>(std::ceil(this->mean_tasks + above));
+  return std::clamp<std::int64_t>(target - this->running, 0, this->max_tasks);
 }
 
-std::int64_t Headroom::WantedOf(std::int32_t priority) const {
-  const std::int64_t wanted = this->Wanted();
-  return wanted - (wanted >> std::clamp(priority, 0, kLastGrade));
+std::int64_t Headroom::ReservedTasksFor(std::int32_t priority) const {
+  const std::int64_t wanted = this->ReservedTasks();
+  return wanted - (wanted >> std::clamp(priority, 0, kMaxPriorityShift));
 }
 
 std::optional<Instant> Headroom::NextUpdate() const {
--- a/packages/core/src/scheduler/headroom.h
+++ b/packages/core/src/scheduler/headroom.h
@@ -23,17 +23,17 @@
   void Update(Instant now, const Catalog& catalog, Ledger* ledger);
   /// Follows the other work that runs.
   /// @param share_per_second share of the cell that its ends free
-  void FollowOtherWork(double share_per_second);
-  void UrgentStarted() { ++this->running; }
-  void UrgentEnded() { --this->running; }
+  void SetNonUrgentReleaseRate(double share_per_second);
+  void OnUrgentStarted() { ++this->running; }
+  void OnUrgentEnded() { --this->running; }
   /// @return tasks of the mean urgent size to be kept room for now
-  [[nodiscard]] std::int64_t Wanted() const;
+  [[nodiscard]] std::int64_t ReservedTasks() const;
   /// @return the part of it that work of a priority must leave: half for
   ///   priority 1, three quarters for 2, and so on. So work in the middle is
   ///   not shut out by long tasks of the lowest priority.
-  [[nodiscard]] std::int64_t WantedOf(std::int32_t priority) const;
+  [[nodiscard]] std::int64_t ReservedTasksFor(std::int32_t priority) const;
   /// The mean urgent task.
-  [[nodiscard]] const Resources& Task() const { return this->task; }
+  [[nodiscard]] const Resources& MeanTask() const { return this->task; }
   /// @return when the target changes next
   [[nodiscard]] std::optional<Instant> NextUpdate() const;
 
@@ -43,11 +43,11 @@
   /// Dominant share of the cell that the mean urgent task takes.
   double task_share = 0;
   /// Mean number of urgent tasks that run at once.
-  double mean = 0;
+  double mean_tasks = 0;
   /// Wait that an urgent request may well meet.
   double window_seconds = 0;
-  double other_ends_per_second = 0;
-  std::int64_t most = 0;
+  double non_urgent_ends_per_second = 0;
+  std::int64_t max_tasks = 0;
   std::int64_t running = 0;
 };
 
--- a/packages/core/src/scheduler/placement_pass.cc
+++ b/packages/core/src/scheduler/placement_pass.cc
@@ -10,12 +10,12 @@
 namespace {
 
 /// Requests stepped over in a pass because of the workers they avoid.
-constexpr int kMostAvoided = 16;
+constexpr int kMaxSkippedRequests = 16;
 /// A single task this large, as a share of the largest worker, can starve
 /// behind small ones like a gang.
-constexpr double kLargeTask = 0.25;
+constexpr double kLargeTaskShare = 0.25;
 /// Wait after which such a task gets a reservation.
-constexpr Duration kPatience = std::chrono::seconds(1);
+constexpr Duration kLargeTaskReservationDelay = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -24,108 +24,110 @@
     : now(now), state(state), ledger(ledger), limit(limit) {}
 
 std::vector<Placement> PlacementPass::Run() {
-  this->state->FollowCapacity(*this->ledger);
+  this->state->UpdateCapacity(*this->ledger);
   this->state->headroom.Update(this->now, this->state->catalog, this->ledger);
-  this->state->waits_for_headroom = false;
-  this->DropStaleReservation();
-  this->GuaranteeReservation();
+  this->state->blocked_by_headroom = false;
+  this->ClearStaleReservation();
+  this->UpdateReservationGuarantee();
   for (auto& [priority, band] : this->state->bands) {
-    if (priority == 0) this->RunBand(priority, &band);
+    if (priority == 0) this->PlaceBand(priority, &band);
   }
   for (auto& [priority, band] : this->state->bands) {
-    if (priority != 0) this->RunGuarantee(priority, &band);
+    if (priority != 0) this->PlaceGuaranteedShare(priority, &band);
   }
   for (auto& [priority, band] : this->state->bands) {
-    if (priority != 0) this->RunBand(priority, &band);
+    if (priority != 0) this->PlaceBand(priority, &band);
   }
-  for (const RequestSlot slot : this->set_aside) {
-    this->state->queue.PutBack(slot);
+  for (const RequestSlot slot : this->skipped_slots) {
+    this->state->queue.ReattachToFlow(slot);
   }
-  this->state->stopped_at_limit.reset();
-  if (this->Full()) this->state->stopped_at_limit = this->now;
+  this->state->limit_reached_at.reset();
+  if (this->LimitReached()) this->state->limit_reached_at = this->now;
   this->ObserveDrain();
   return std::move(this->placements);
 }
 
-bool PlacementPass::Full() const {
+bool PlacementPass::LimitReached() const {
   return this->placements.size() >= this->limit;
 }
 
-void PlacementPass::RunGuarantee(std::int32_t priority, PriorityBand* band) {
+void PlacementPass::PlaceGuaranteedShare(std::int32_t priority,
+                                         PriorityBand* band) {
   if (!this->state->BelowGuarantee(*band)) return;
-  this->in_guarantee = true;
-  this->RunBand(priority, band);
-  this->in_guarantee = false;
+  this->placing_guaranteed_share = true;
+  this->PlaceBand(priority, band);
+  this->placing_guaranteed_share = false;
 }
 
-void PlacementPass::RunBand(std::int32_t priority, PriorityBand* band) {
-  if (this->Full() || band->Empty()) return;
+void PlacementPass::PlaceBand(std::int32_t priority, PriorityBand* band) {
+  if (this->LimitReached() || band->Empty()) return;
   this->blocked_services.clear();
-  this->TryHolder(priority);
-  while (!this->Full() &&
-         (!this->in_guarantee || this->state->BelowGuarantee(*band)) &&
-         this->blocked_services.size() < band->WaitingServices()) {
+  this->TryReservationHolder(priority);
+  while (
+      !this->LimitReached() &&
+      (!this->placing_guaranteed_share || this->state->BelowGuarantee(*band)) &&
+      this->blocked_services.size() < band->WaitingServices()) {
     const std::optional<TeamIndex> team = band->NextTeam();
     if (!team) break;
-    if (!this->PlaceNextOf(*band, *team)) band->Park(*team);
+    if (!this->PlaceNextRequest(*band, *team)) band->SuspendTeam(*team);
   }
-  band->UnparkAll();
+  band->ResumeTeams();
 }
 
-void PlacementPass::DropStaleReservation() {
+void PlacementPass::ClearStaleReservation() {
   GangReservation& reservation = this->state->reservation;
   if (!reservation.Active()) return;
   const auto slot = this->state->queue.SlotOf(*reservation.Holder());
   if (slot) {
-    const LaneIndex lane = this->state->queue.At(*slot).lane;
-    const ServiceIndex service = this->state->queue.LaneAt(lane).service;
+    const FlowIndex flow = this->state->queue.At(*slot).flow;
+    const ServiceIndex service = this->state->queue.FlowAt(flow).service;
     const Profile& profile = this->state->catalog.ServiceAt(service).profile;
     if (profile.priority == reservation.Priority()) return;
   }
   // Cancelled, expired, or of another priority since a change of the
   // configuration.
-  reservation.Drop(this->ledger);
+  reservation.Clear(this->ledger);
 }
 
-void PlacementPass::GuaranteeReservation() {
+void PlacementPass::UpdateReservationGuarantee() {
   GangReservation& reservation = this->state->reservation;
   if (!reservation.Active()) return;
   const PriorityBand& band = this->state->bands[reservation.Priority()];
   reservation.SetGuaranteed(this->state->BelowGuarantee(band));
 }
 
-void PlacementPass::TryHolder(std::int32_t priority) {
+void PlacementPass::TryReservationHolder(std::int32_t priority) {
   GangReservation& reservation = this->state->reservation;
   if (!reservation.Active() || reservation.Priority() != priority) return;
   const auto slot = this->state->queue.SlotOf(*reservation.Holder());
   if (!slot) return;
-  if (this->TryPlace(*slot) == Attempt::kPlaced) return;
-  if (!reservation.PlanIsOld(this->now)) return;
+  if (this->TryPlace(*slot) == PlaceResult::kPlaced) return;
+  if (!reservation.PlanIsStale(this->now)) return;
   const QueueEntry& entry = this->state->queue.At(*slot);
-  const ServiceIndex service = this->state->queue.LaneAt(entry.lane).service;
-  reservation.Take(
+  const ServiceIndex service = this->state->queue.FlowAt(entry.flow).service;
+  reservation.ReserveFor(
       this->now,
       {entry.request.request, &this->state->catalog.ServiceAt(service),
        entry.request.avoid},
       this->state->running, this->state->catalog, this->ledger);
-  this->GuaranteeReservation();
+  this->UpdateReservationGuarantee();
 }
 
-bool PlacementPass::PlaceNextOf(const PriorityBand& band, TeamIndex team) {
-  while (const auto lane = this->FirstLane(band, team)) {
-    const RequestSlot slot = *this->state->queue.Head(*lane);
+bool PlacementPass::PlaceNextRequest(const PriorityBand& band, TeamIndex team) {
+  while (const auto flow = this->EarliestFlow(band, team)) {
+    const RequestSlot slot = *this->state->queue.Head(*flow);
     switch (this->TryPlace(slot)) {
-      case Attempt::kPlaced:
+      case PlaceResult::kPlaced:
         return true;
-      case Attempt::kServiceBlocked:
-        this->BlockService(this->state->queue.LaneAt(*lane).service);
+      case PlaceResult::kServiceBlocked:
+        this->BlockService(this->state->queue.FlowAt(*flow).service);
         break;
-      case Attempt::kLaneBlocked:
-        this->blocked_lanes.insert(*lane);
+      case PlaceResult::kFlowBlocked:
+        this->blocked_flows.insert(*flow);
         break;
-      case Attempt::kRequestBlocked:
-        this->state->queue.SetAside(*lane);
-        this->set_aside.push_back(slot);
+      case PlaceResult::kRequestBlocked:
+        this->state->queue.DetachHead(*flow);
+        this->skipped_slots.push_back(slot);
         break;
     }
   }
@@ -136,55 +138,58 @@
   this->blocked_services.insert(service);
 }
 
-std::optional<LaneIndex> PlacementPass::FirstLane(const PriorityBand& band,
-                                                  TeamIndex team) {
-  std::optional<LaneIndex> first;
+std::optional<FlowIndex> PlacementPass::EarliestFlow(const PriorityBand& band,
+                                                     TeamIndex team) {
+  std::optional<FlowIndex> first;
   Instant earliest = Instant::max();
-  for (const LaneIndex lane : band.LanesOf(team)) {
-    const RequestQueue::Lane& known = this->state->queue.LaneAt(lane);
-    if (known.live == 0 || this->blocked_lanes.contains(lane)) continue;
+  for (const FlowIndex flow : band.FlowsOf(team)) {
+    const RequestQueue::FlowQueue& known = this->state->queue.FlowAt(flow);
+    if (known.live == 0 || this->blocked_flows.contains(flow)) continue;
     if (this->blocked_services.contains(known.service)) continue;
-    const auto head = this->state->queue.Head(lane);
+    const auto head = this->state->queue.Head(flow);
     if (!head) continue;
     const Instant place_by = this->state->queue.At(*head).request.place_by;
     if (first && place_by >= earliest) continue;
-    first = lane;
+    first = flow;
     earliest = place_by;
   }
   return first;
 }
 
-PlacementPass::Attempt PlacementPass::TryPlace(RequestSlot slot) {
+PlacementPass::PlaceResult PlacementPass::TryPlace(RequestSlot slot) {
   const QueueEntry& entry = this->state->queue.At(slot);
-  if (entry.request.place_by <= this->now) return Attempt::kRequestBlocked;
-  const RequestQueue::Lane& lane = this->state->queue.LaneAt(entry.lane);
-  const ServiceEntry& service = this->state->catalog.ServiceAt(lane.service);
-  const TeamEntry& team = this->state->catalog.TeamAt(lane.team);
-  if (!team.HasQuotaFor(service.all_tasks)) return Attempt::kLaneBlocked;
+  if (entry.request.place_by <= this->now) return PlaceResult::kRequestBlocked;
+  const RequestQueue::FlowQueue& flow = this->state->queue.FlowAt(entry.flow);
+  const ServiceEntry& service = this->state->catalog.ServiceAt(flow.service);
+  const TeamEntry& team = this->state->catalog.TeamAt(flow.team);
+  if (!team.HasQuotaFor(service.request_resources))
+    return PlaceResult::kFlowBlocked;
   const bool holder = this->state->reservation.HeldBy(entry.request.request);
   const HoldPolicy holds =
       holder ? HoldPolicy::kIgnore
-             : this->state->reservation.HoldsFor(this->now, service);
-  const std::vector<WorkerId> workers = this->FindRoom(entry, service, holds);
+             : this->state->reservation.HoldPolicyFor(this->now, service);
+  const std::vector<WorkerId> workers =
+      this->FindWorkers(entry, service, holds);
   if (workers.empty()) {
-    this->ConsiderReservation(entry, service);
-    if (entry.request.avoid.empty()) return Attempt::kServiceBlocked;
-    return ++this->avoided <= kMostAvoided ? Attempt::kRequestBlocked
-                                           : Attempt::kLaneBlocked;
+    this->MaybeReserve(entry, service);
+    if (entry.request.avoid.empty()) return PlaceResult::kServiceBlocked;
+    return ++this->skipped_requests <= kMaxSkippedRequests
+               ? PlaceResult::kRequestBlocked
+               : PlaceResult::kFlowBlocked;
   }
   if (!this->LeavesHeadroom(service, workers, holder)) {
-    this->state->waits_for_headroom = true;
+    this->state->blocked_by_headroom = true;
     // Else gangs, which find no room and reserve it, would pass by for good.
-    if (!holder) this->ConsiderReservation(entry, service);
-    return Attempt::kServiceBlocked;
+    if (!holder) this->MaybeReserve(entry, service);
+    return PlaceResult::kServiceBlocked;
   }
-  return this->Commit(entry, workers) ? Attempt::kPlaced
-                                      : Attempt::kRequestBlocked;
+  return this->Commit(entry, workers) ? PlaceResult::kPlaced
+                                      : PlaceResult::kRequestBlocked;
 }
 
-std::vector<WorkerId> PlacementPass::FindRoom(const QueueEntry& entry,
-                                              const ServiceEntry& service,
-                                              HoldPolicy holds) const {
+std::vector<WorkerId> PlacementPass::FindWorkers(const QueueEntry& entry,
+                                                 const ServiceEntry& service,
+                                                 HoldPolicy holds) const {
   const std::vector<WorkerId>& avoid = entry.request.avoid;
   const Packing packing = service.profile.packing;
   if (service.tasks > 1) {
@@ -205,16 +210,17 @@
   // good. Work below its guaranteed share likewise: priority 1 would take all
   // room before as much is free as lower priorities must leave.
   const Headroom& headroom = this->state->headroom;
-  const std::int32_t priority = holds_reservation || this->in_guarantee
-                                    ? std::min(service.profile.priority, 1)
-                                    : service.profile.priority;
-  const std::int64_t wanted = headroom.WantedOf(priority);
+  const std::int32_t priority =
+      holds_reservation || this->placing_guaranteed_share
+          ? std::min(service.profile.priority, 1)
+          : service.profile.priority;
+  const std::int64_t wanted = headroom.ReservedTasksFor(priority);
   if (wanted == 0) return true;
   std::int64_t left = this->ledger->TrackedFitCount();
   const GangReservation& reservation = this->state->reservation;
   const bool outranks = reservation.OutrankedBy(service.profile.priority);
   if (reservation.Active() && !holds_reservation && !outranks) {
-    left -= reservation.HeldRoomFor(headroom.Task(), *this->ledger);
+    left -= reservation.CountFittingInHolds(headroom.MeanTask(), *this->ledger);
   }
   for (std::size_t i = 0; i < workers.size();) {
     std::size_t next = i;
@@ -228,27 +234,27 @@
   return left >= wanted;
 }
 
-void PlacementPass::ConsiderReservation(const QueueEntry& entry,
-                                        const ServiceEntry& service) {
+void PlacementPass::MaybeReserve(const QueueEntry& entry,
+                                 const ServiceEntry& service) {
   GangReservation& reservation = this->state->reservation;
-  if (!reservation.MayBeTaken(this->now, service.profile.priority)) return;
+  if (!reservation.IsAvailableTo(this->now, service.profile.priority)) return;
   if (service.tasks == 1) {
     const double size =
         DominantShare(service.resources, this->ledger->LargestCapacity());
-    if (size < kLargeTask) return;
+    if (size < kLargeTaskShare) return;
     const QueuedRequest& request = entry.request;
-    if (this->now - request.arrived < kPatience) return;
+    if (this->now - request.arrived < kLargeTaskReservationDelay) return;
   }
-  reservation.Take(this->now,
-                   {entry.request.request, &service, entry.request.avoid},
-                   this->state->running, this->state->catalog, this->ledger);
-  this->GuaranteeReservation();
+  reservation.ReserveFor(
+      this->now, {entry.request.request, &service, entry.request.avoid},
+      this->state->running, this->state->catalog, this->ledger);
+  this->UpdateReservationGuarantee();
 }
 
 bool PlacementPass::Commit(const QueueEntry& entry,
                            const std::vector<WorkerId>& workers) {
-  const RequestQueue::Lane& lane = this->state->queue.LaneAt(entry.lane);
-  const ServiceEntry& service = this->state->catalog.ServiceAt(lane.service);
+  const RequestQueue::FlowQueue& flow = this->state->queue.FlowAt(entry.flow);
+  const ServiceEntry& service = this->state->catalog.ServiceAt(flow.service);
   const QueuedRequest& request = entry.request;
   const std::size_t before = this->placements.size();
   for (std::size_t i = 0; i < workers.size(); ++i) {
@@ -268,12 +274,12 @@
         {request.request, std::move(task), workers[i], service.resources});
   }
   if (this->state->reservation.HeldBy(request.request)) {
-    this->state->reservation.Drop(this->ledger);
+    this->state->reservation.Clear(this->ledger);
   }
   this->placed[service.profile.priority] += entry.size;
-  const ServiceIndex service_number = lane.service;
-  const TeamIndex team = lane.team;
-  this->state->Leave(RequestId(request.request));
+  const ServiceIndex service_number = flow.service;
+  const TeamIndex team = flow.team;
+  this->state->RemoveRequest(RequestId(request.request));
   for (std::size_t i = before; i < this->placements.size(); ++i) {
     const Placement& placement = this->placements[i];
     RunningEntry started;
@@ -284,7 +290,7 @@
     started.worker = placement.worker;
     started.resources = placement.resources;
     started.started = this->now;
-    this->state->Start(std::move(started));
+    this->state->AddRunningTask(std::move(started));
   }
   return true;
 }
--- a/packages/core/src/scheduler/placement_pass.h
+++ b/packages/core/src/scheduler/placement_pass.h
@@ -28,39 +28,38 @@
 
  private:
   /// Why a request was not placed.
-  enum class Attempt {
+  enum class PlaceResult {
     kPlaced,
     /// No other request for the service can be placed either.
     kServiceBlocked,
     /// No other request of the team for the service can be placed either.
-    kLaneBlocked,
+    kFlowBlocked,
     /// Concerns this request alone.
     kRequestBlocked,
   };
 
-  void RunBand(std::int32_t priority, PriorityBand* band);
+  void PlaceBand(std::int32_t priority, PriorityBand* band);
   /// Places work of a band as long as it is below its guaranteed share.
-  void RunGuarantee(std::int32_t priority, PriorityBand* band);
-  void DropStaleReservation();
-  void GuaranteeReservation();
-  void TryHolder(std::int32_t priority);
+  void PlaceGuaranteedShare(std::int32_t priority, PriorityBand* band);
+  void ClearStaleReservation();
+  void UpdateReservationGuarantee();
+  void TryReservationHolder(std::int32_t priority);
   /// @return false if nothing of the team can be placed
-  bool PlaceNextOf(const PriorityBand& band, TeamIndex team);
-  /// @return the lane of the team whose head is due first
-  [[nodiscard]] std::optional<LaneIndex> FirstLane(const PriorityBand& band,
-                                                   TeamIndex team);
-  Attempt TryPlace(RequestSlot slot);
-  [[nodiscard]] std::vector<WorkerId> FindRoom(const QueueEntry& entry,
-                                               const ServiceEntry& service,
-                                               HoldPolicy holds) const;
+  bool PlaceNextRequest(const PriorityBand& band, TeamIndex team);
+  /// @return the flow of the team whose head is due first
+  [[nodiscard]] std::optional<FlowIndex> EarliestFlow(const PriorityBand& band,
+                                                      TeamIndex team);
+  PlaceResult TryPlace(RequestSlot slot);
+  [[nodiscard]] std::vector<WorkerId> FindWorkers(const QueueEntry& entry,
+                                                  const ServiceEntry& service,
+                                                  HoldPolicy holds) const;
   [[nodiscard]] bool LeavesHeadroom(const ServiceEntry& service,
                                     const std::vector<WorkerId>& workers,
                                     bool holds_reservation) const;
-  void ConsiderReservation(const QueueEntry& entry,
-                           const ServiceEntry& service);
+  void MaybeReserve(const QueueEntry& entry, const ServiceEntry& service);
   bool Commit(const QueueEntry& entry, const std::vector<WorkerId>& workers);
   void BlockService(ServiceIndex service);
-  [[nodiscard]] bool Full() const;
+  [[nodiscard]] bool LimitReached() const;
   void ObserveDrain();
 
   Instant now;
@@ -69,10 +68,10 @@
   std::size_t limit;
   std::vector<Placement> placements;
   std::unordered_set<ServiceIndex> blocked_services;
-  std::unordered_set<LaneIndex> blocked_lanes;
-  std::vector<RequestSlot> set_aside;
-  int avoided = 0;
-  bool in_guarantee = false;
+  std::unordered_set<FlowIndex> blocked_flows;
+  std::vector<RequestSlot> skipped_slots;
+  int skipped_requests = 0;
+  bool placing_guaranteed_share = false;
   /// Dominant shares placed, by priority.
   std::map<std::int32_t, double> placed;
 };
--- a/packages/core/src/scheduler/priority_band.cc
+++ b/packages/core/src/scheduler/priority_band.cc
@@ -9,10 +9,10 @@
   return this->teams[team];
 }
 
-void PriorityBand::Join(const BandRequest& request, double team_share) {
+void PriorityBand::AddRequest(const BandRequest& request, double team_share) {
   TeamQueue& queue = this->QueueOf(request.team);
-  if (std::ranges::find(queue.lanes, request.lane) == queue.lanes.end()) {
-    queue.lanes.push_back(request.lane);
+  if (std::ranges::find(queue.flows, request.flow) == queue.flows.end()) {
+    queue.flows.push_back(request.flow);
   }
   if (queue.live == 0) {
     queue.share = team_share;
@@ -28,7 +28,7 @@
   if (this->live_by_service[request.service]++ == 0) ++this->waiting_services;
 }
 
-void PriorityBand::Leave(const BandRequest& request) {
+void PriorityBand::RemoveRequest(const BandRequest& request) {
   TeamQueue& queue = this->QueueOf(request.team);
   --queue.live;
   queue.backlog -= request.size;
@@ -39,12 +39,12 @@
   if (this->live == 0) this->backlog = 0;
   if (queue.live > 0) return;
   queue.backlog = 0;
-  if (!queue.parked) this->ranks.erase({queue.share, request.team});
+  if (!queue.suspended) this->ranks.erase({queue.share, request.team});
 }
 
-void PriorityBand::Rank(TeamIndex team, double share) {
+void PriorityBand::UpdateTeamShare(TeamIndex team, double share) {
   TeamQueue& queue = this->QueueOf(team);
-  const bool ranked = queue.live > 0 && !queue.parked;
+  const bool ranked = queue.live > 0 && !queue.suspended;
   if (ranked) this->ranks.erase({queue.share, team});
   queue.share = share;
   if (ranked) this->ranks.insert({queue.share, team});
@@ -55,24 +55,24 @@
   return this->ranks.begin()->team;
 }
 
-void PriorityBand::Park(TeamIndex team) {
+void PriorityBand::SuspendTeam(TeamIndex team) {
   TeamQueue& queue = this->QueueOf(team);
   this->ranks.erase({queue.share, team});
-  queue.parked = true;
-  this->parked.push_back(team);
+  queue.suspended = true;
+  this->suspended.push_back(team);
 }
 
-void PriorityBand::UnparkAll() {
-  for (const TeamIndex team : this->parked) {
+void PriorityBand::ResumeTeams() {
+  for (const TeamIndex team : this->suspended) {
     TeamQueue& queue = this->teams[team];
-    queue.parked = false;
+    queue.suspended = false;
     if (queue.live > 0) this->ranks.insert({queue.share, team});
   }
-  this->parked.clear();
+  this->suspended.clear();
 }
 
-std::span<const LaneIndex> PriorityBand::LanesOf(TeamIndex team) const {
-  return this->teams[team].lanes;
+std::span<const FlowIndex> PriorityBand::FlowsOf(TeamIndex team) const {
+  return this->teams[team].flows;
 }
 
 std::size_t PriorityBand::WaitingServices() const {
--- a/packages/core/src/scheduler/priority_band.h
+++ b/packages/core/src/scheduler/priority_band.h
@@ -16,7 +16,7 @@
 
 /// What a band counts when a request joins or leaves it.
 struct BandRequest {
-  LaneIndex lane = 0;
+  FlowIndex flow = 0;
   ServiceIndex service = 0;
   TeamIndex team = 0;
   /// Dominant share of the cell that its tasks take.
@@ -27,18 +27,18 @@
 /// dominant share: the team that holds least, relative to its weight, is next.
 class PriorityBand {
  public:
-  void Join(const BandRequest& request, double team_share);
-  void Leave(const BandRequest& request);
+  void AddRequest(const BandRequest& request, double team_share);
+  void RemoveRequest(const BandRequest& request);
   /// Moves a team to the place that its share gives it.
-  void Rank(TeamIndex team, double share);
+  void UpdateTeamShare(TeamIndex team, double share);
 
-  /// @return the team that is next, leaving out parked ones
+  /// @return the team that is next, leaving out suspended ones
   [[nodiscard]] std::optional<TeamIndex> NextTeam() const;
-  /// Leaves a team out until `UnparkAll`, since nothing of it can be placed.
-  void Park(TeamIndex team);
-  void UnparkAll();
+  /// Leaves a team out until `ResumeTeams`, since nothing of it can be placed.
+  void SuspendTeam(TeamIndex team);
+  void ResumeTeams();
 
-  [[nodiscard]] std::span<const LaneIndex> LanesOf(TeamIndex team) const;
+  [[nodiscard]] std::span<const FlowIndex> FlowsOf(TeamIndex team) const;
   [[nodiscard]] bool Empty() const { return this->live == 0; }
   /// Services of which something waits.
   [[nodiscard]] std::size_t WaitingServices() const;
@@ -54,15 +54,15 @@
   /// Sizes accepted into this band.
   ArrivalRate arrivals;
   /// Held by the tasks that were started from it.
-  Resources held;
+  Resources in_use;
 
  private:
   struct TeamQueue {
-    std::vector<LaneIndex> lanes;
+    std::vector<FlowIndex> flows;
     std::size_t live = 0;
     double backlog = 0;
     double share = 0;
-    bool parked = false;
+    bool suspended = false;
   };
   struct TeamRank {
     double share = 0;
@@ -76,7 +76,7 @@
 
   std::vector<TeamQueue> teams;
   std::set<TeamRank> ranks;
-  std::vector<TeamIndex> parked;
+  std::vector<TeamIndex> suspended;
   std::vector<std::size_t> live_by_service;
   std::size_t waiting_services = 0;
   std::size_t live = 0;
--- a/packages/core/src/scheduler/rates.cc
+++ b/packages/core/src/scheduler/rates.cc
@@ -7,14 +7,14 @@
 namespace {
 
 /// Time over which a sample's weight falls to 1/e.
-constexpr double kMemorySeconds = 5.0;
+constexpr double kDecaySeconds = 5.0;
 /// Least time that arrivals are taken to have come in, so that the first one
 /// does not look like an endless rate.
-constexpr double kLeastAgeSeconds = 1.0;
+constexpr double kMinArrivalAgeSeconds = 1.0;
 /// Least backlogged time that a drain rate is taken from.
-constexpr double kLeastBacklogSeconds = 0.2;
+constexpr double kMinBacklogSeconds = 0.2;
 /// Age at which a drain rate says nothing of the present.
-constexpr double kOldestDrainSeconds = 10.0;
+constexpr double kMaxDrainAgeSeconds = 10.0;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -28,36 +28,38 @@
     this->last = now;
   }
   const double age = std::max(0.0, Seconds(now - this->last));
-  this->weight = this->weight * std::exp(-age / kMemorySeconds) + amount;
+  this->weight = this->weight * std::exp(-age / kDecaySeconds) + amount;
   this->last = std::max(this->last, now);
 }
 
 double ArrivalRate::PerSecond(Instant now) const {
   if (!this->first) return 0.0;
   const double age = std::max(0.0, Seconds(now - this->last));
-  const double whole = std::max(kLeastAgeSeconds, Seconds(now - *this->first));
-  const double covered = 1.0 - std::exp(-whole / kMemorySeconds);
-  return this->weight * std::exp(-age / kMemorySeconds) /
-         (kMemorySeconds * covered);
+  const double whole =
+      std::max(kMinArrivalAgeSeconds, Seconds(now - *this->first));
+  const double covered = 1.0 - std::exp(-whole / kDecaySeconds);
+  return this->weight * std::exp(-age / kDecaySeconds) /
+         (kDecaySeconds * covered);
 }
 
 void DrainRate::Observe(Instant now, double placed, bool backlogged) {
   if (this->backlogged_since) {
     const double passed = std::max(0.0, Seconds(now - *this->backlogged_since));
-    const double kept = std::exp(-passed / kMemorySeconds);
+    const double kept = std::exp(-passed / kDecaySeconds);
     this->amount = this->amount * kept + placed;
     this->seconds = this->seconds * kept + passed;
-    this->watched = now;
+    this->last_observed = now;
   }
   this->backlogged_since.reset();
   if (backlogged) this->backlogged_since = now;
 }
 
 std::optional<double> DrainRate::PerSecond(Instant now) const {
-  if (this->seconds < kLeastBacklogSeconds || this->amount <= 0) {
+  if (this->seconds < kMinBacklogSeconds || this->amount <= 0) {
     return std::nullopt;
   }
-  if (Seconds(now - this->watched) > kOldestDrainSeconds) return std::nullopt;
+  if (Seconds(now - this->last_observed) > kMaxDrainAgeSeconds)
+    return std::nullopt;
   return this->amount / this->seconds;
 }
 
--- a/packages/core/src/scheduler/rates.h
+++ b/packages/core/src/scheduler/rates.h
@@ -33,7 +33,7 @@
 
  private:
   std::optional<Instant> backlogged_since;
-  Instant watched;
+  Instant last_observed;
   double amount = 0;
   double seconds = 0;
 };
--- a/packages/core/src/scheduler/request_queue.cc
+++ b/packages/core/src/scheduler/request_queue.cc
@@ -7,14 +7,14 @@
 namespace {
 
 /// Stale nodes that are always tolerated, so that short heaps are left alone.
-constexpr std::size_t kToleratedStale = 64;
+constexpr std::size_t kToleratedStaleNodes = 64;
 
 bool ComesLater(const QueueNode& a, const QueueNode& b) {
   if (a.place_by != b.place_by) return a.place_by > b.place_by;
   return a.sequence > b.sequence;
 }
 
-std::uint64_t LaneKey(ServiceIndex service, TeamIndex team) {
+std::uint64_t FlowKey(ServiceIndex service, TeamIndex team) {
   return (std::uint64_t{service} << 32) | team;
 }
 
@@ -35,16 +35,16 @@
 }
 
 template <typename IsLive>
-void DeadlineHeap::Sweep(IsLive is_live) {
+void DeadlineHeap::Compact(IsLive is_live) {
   std::erase_if(this->nodes,
                 [&](const QueueNode& node) { return !is_live(node); });
   std::ranges::make_heap(this->nodes, ComesLater);
 }
 
 template <typename IsLive>
-void DeadlineHeap::SweepIfMostlyStale(std::size_t live, IsLive is_live) {
-  if (this->nodes.size() <= 2 * live + kToleratedStale) return;
-  this->Sweep(is_live);
+void DeadlineHeap::CompactIfMostlyStale(std::size_t live, IsLive is_live) {
+  if (this->nodes.size() <= 2 * live + kToleratedStaleNodes) return;
+  this->Compact(is_live);
 }
 
 template <typename IsLive>
@@ -55,7 +55,7 @@
     // and the next pass takes each node off the top by itself; an urgent
     // request waits for milliseconds. Many stale nodes in a row mean a wave,
     // and then one sweep takes out all of them.
-    if (++dropped > kToleratedStale) return this->Sweep(is_live);
+    if (++dropped > kToleratedStaleNodes) return this->Compact(is_live);
     this->Pop();
   }
 }
@@ -75,48 +75,48 @@
   return found->second;
 }
 
-LaneIndex RequestQueue::LaneFor(ServiceIndex service, TeamIndex team) {
-  const std::uint64_t key = LaneKey(service, team);
-  const auto next = static_cast<LaneIndex>(this->lanes.size());
-  const auto [found, added] = this->lane_numbers.emplace(key, next);
-  if (added) this->lanes.push_back({service, team, 0, {}});
+FlowIndex RequestQueue::FindOrAddFlow(ServiceIndex service, TeamIndex team) {
+  const std::uint64_t key = FlowKey(service, team);
+  const auto next = static_cast<FlowIndex>(this->flows.size());
+  const auto [found, added] = this->flow_indexes.emplace(key, next);
+  if (added) this->flows.push_back({service, team, 0, {}});
   return found->second;
 }
 
 std::size_t RequestQueue::LiveCount(ServiceIndex service,
                                     TeamIndex team) const {
-  const auto found = this->lane_numbers.find(LaneKey(service, team));
-  return found == this->lane_numbers.end() ? 0
-                                           : this->lanes[found->second].live;
+  const auto found = this->flow_indexes.find(FlowKey(service, team));
+  return found == this->flow_indexes.end() ? 0
+                                           : this->flows[found->second].live;
 }
 
-RequestSlot RequestQueue::TakeSlot() {
-  if (this->unused.empty()) {
+RequestSlot RequestQueue::AllocateSlot() {
+  if (this->free_slots.empty()) {
     this->entries.emplace_back();
     this->sequences.push_back(0);
     return static_cast<RequestSlot>(this->entries.size() - 1);
   }
-  const RequestSlot slot = this->unused.back();
-  this->unused.pop_back();
+  const RequestSlot slot = this->free_slots.back();
+  this->free_slots.pop_back();
   return slot;
 }
 
-RequestSlot RequestQueue::Add(QueuedRequest request, LaneIndex lane,
+RequestSlot RequestQueue::Add(QueuedRequest request, FlowIndex flow,
                               double size) {
-  const RequestSlot slot = this->TakeSlot();
+  const RequestSlot slot = this->AllocateSlot();
   const QueueNode node{request.place_by, ++this->last_sequence, slot};
   this->by_request.emplace(request.request, slot);
-  this->entries[slot] = {std::move(request), lane, size, node.sequence};
+  this->entries[slot] = {std::move(request), flow, size, node.sequence};
   this->sequences[slot] = node.sequence;
   const auto is_live = [this](const QueueNode& other) {
     return this->IsLive(other);
   };
-  Lane& target = this->lanes[lane];
+  FlowQueue& target = this->flows[flow];
   ++target.live;
   target.heap.Push(node);
-  target.heap.SweepIfMostlyStale(target.live, is_live);
+  target.heap.CompactIfMostlyStale(target.live, is_live);
   this->deadlines.Push(node);
-  this->deadlines.SweepIfMostlyStale(this->by_request.size(), is_live);
+  this->deadlines.CompactIfMostlyStale(this->by_request.size(), is_live);
   return slot;
 }
 
@@ -128,32 +128,32 @@
   QueueEntry entry = std::move(this->entries[slot]);
   this->entries[slot] = QueueEntry{};
   this->sequences[slot] = 0;
-  this->unused.push_back(slot);
-  --this->lanes[entry.lane].live;
+  this->free_slots.push_back(slot);
+  --this->flows[entry.flow].live;
   return entry;
 }
 
-std::optional<RequestSlot> RequestQueue::Head(LaneIndex lane) {
-  DeadlineHeap& heap = this->lanes[lane].heap;
+std::optional<RequestSlot> RequestQueue::Head(FlowIndex flow) {
+  DeadlineHeap& heap = this->flows[flow].heap;
   // After a wave of cancellations one sweep is cheaper than popping each.
   const auto is_live = [this](const QueueNode& node) {
     return this->IsLive(node);
   };
-  heap.SweepIfMostlyStale(this->lanes[lane].live, is_live);
+  heap.CompactIfMostlyStale(this->flows[flow].live, is_live);
   heap.DropStaleTop(is_live);
   if (heap.Top() == nullptr) return std::nullopt;
   return heap.Top()->slot;
 }
 
-void RequestQueue::SetAside(LaneIndex lane) { this->lanes[lane].heap.Pop(); }
+void RequestQueue::DetachHead(FlowIndex flow) { this->flows[flow].heap.Pop(); }
 
-void RequestQueue::PutBack(RequestSlot slot) {
+void RequestQueue::ReattachToFlow(RequestSlot slot) {
   const QueueEntry& entry = this->entries[slot];
-  this->lanes[entry.lane].heap.Push(
+  this->flows[entry.flow].heap.Push(
       {entry.request.place_by, entry.sequence, slot});
 }
 
-std::optional<RequestSlot> RequestQueue::Expired(Instant now) {
+std::optional<RequestSlot> RequestQueue::FirstExpired(Instant now) {
   this->deadlines.DropStaleTop(
       [this](const QueueNode& node) { return this->IsLive(node); });
   const QueueNode* top = this->deadlines.Top();
@@ -172,8 +172,8 @@
   return this->entries[slot];
 }
 
-const RequestQueue::Lane& RequestQueue::LaneAt(LaneIndex lane) const {
-  return this->lanes[lane];
+const RequestQueue::FlowQueue& RequestQueue::FlowAt(FlowIndex flow) const {
+  return this->flows[flow];
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/scheduler/request_queue.h
+++ b/packages/core/src/scheduler/request_queue.h
@@ -15,12 +15,12 @@
 /// Position of a request in the queue's table; reused once it has left.
 using RequestSlot = std::uint32_t;
 /// Requests of one team for one service.
-using LaneIndex = std::uint32_t;
+using FlowIndex = std::uint32_t;
 
 /// A request that waits.
 struct QueueEntry {
   QueuedRequest request;
-  LaneIndex lane = 0;
+  FlowIndex flow = 0;
   /// Its tasks' dominant share of the cell at arrival.
   double size = 0;
   /// Differs for every request that ever waited; zero once it has left.
@@ -45,23 +45,23 @@
   [[nodiscard]] std::size_t Size() const { return this->nodes.size(); }
   /// Sweeps stale nodes out if they outnumber `live`.
   template <typename IsLive>
-  void SweepIfMostlyStale(std::size_t live, IsLive is_live);
+  void CompactIfMostlyStale(std::size_t live, IsLive is_live);
   /// Takes stale nodes off the top until a live one is there.
   template <typename IsLive>
   void DropStaleTop(IsLive is_live);
 
  private:
   template <typename IsLive>
-  void Sweep(IsLive is_live);
+  void Compact(IsLive is_live);
 
   std::vector<QueueNode> nodes;
 };
 
-/// Waiting requests: by request id, by lane in deadline order, and by
-/// deadline over all lanes. Knows nothing of priorities and shares.
+/// Waiting requests: by request id, by flow in deadline order, and by
+/// deadline over all flows. Knows nothing of priorities and shares.
 class RequestQueue {
  public:
-  struct Lane {
+  struct FlowQueue {
     ServiceIndex service = 0;
     TeamIndex team = 0;
     std::size_t live = 0;
@@ -71,28 +71,28 @@
   [[nodiscard]] bool Contains(const RequestId& request) const;
   [[nodiscard]] std::optional<RequestSlot> SlotOf(
       const RequestId& request) const;
-  [[nodiscard]] LaneIndex LaneFor(ServiceIndex service, TeamIndex team);
+  [[nodiscard]] FlowIndex FindOrAddFlow(ServiceIndex service, TeamIndex team);
   /// The request must not be queued already.
-  RequestSlot Add(QueuedRequest request, LaneIndex lane, double size);
+  RequestSlot Add(QueuedRequest request, FlowIndex flow, double size);
   /// @return the entry taken out, if the request was queued
   /// @complexity constant; heap nodes go stale
   std::optional<QueueEntry> Remove(const RequestId& request);
-  /// @return earliest `place_by` of a lane
-  [[nodiscard]] std::optional<RequestSlot> Head(LaneIndex lane);
-  /// Takes the head's node off the lane's heap for a while; `PutBack` returns
-  /// it. The request stays queued.
-  void SetAside(LaneIndex lane);
-  void PutBack(RequestSlot slot);
+  /// @return earliest `place_by` of a flow
+  [[nodiscard]] std::optional<RequestSlot> Head(FlowIndex flow);
+  /// Takes the head's node off the flow's heap for a while; `ReattachToFlow`
+  /// returns it. The request stays queued.
+  void DetachHead(FlowIndex flow);
+  void ReattachToFlow(RequestSlot slot);
   /// @return a request whose `place_by` has passed; it stays queued
-  [[nodiscard]] std::optional<RequestSlot> Expired(Instant now);
+  [[nodiscard]] std::optional<RequestSlot> FirstExpired(Instant now);
   /// Earliest `place_by` of all; may name a request that has left since.
   [[nodiscard]] std::optional<Instant> NextDeadline() const;
   [[nodiscard]] const QueueEntry& At(RequestSlot slot) const;
   /// @return requests of a team for a service that wait
   [[nodiscard]] std::size_t LiveCount(ServiceIndex service,
                                       TeamIndex team) const;
-  [[nodiscard]] const Lane& LaneAt(LaneIndex lane) const;
-  [[nodiscard]] std::size_t LaneCount() const { return this->lanes.size(); }
+  [[nodiscard]] const FlowQueue& FlowAt(FlowIndex flow) const;
+  [[nodiscard]] std::size_t FlowCount() const { return this->flows.size(); }
   [[nodiscard]] std::size_t Size() const { return this->by_request.size(); }
   /// Calls `visit(entry)` for each request that waits.
   template <typename Visitor>
@@ -100,16 +100,16 @@
 
  private:
   [[nodiscard]] bool IsLive(const QueueNode& node) const;
-  [[nodiscard]] RequestSlot TakeSlot();
+  [[nodiscard]] RequestSlot AllocateSlot();
 
   std::vector<QueueEntry> entries;
-  /// Of each slot; zero while it is unused. Apart from the entries, since a
+  /// Of each slot; zero while it is free_slots. Apart from the entries, since a
   /// sweep looks at nothing else of them.
   std::vector<std::uint64_t> sequences;
-  std::vector<RequestSlot> unused;
+  std::vector<RequestSlot> free_slots;
   std::unordered_map<RequestId, RequestSlot> by_request;
-  std::vector<Lane> lanes;
-  std::unordered_map<std::uint64_t, LaneIndex> lane_numbers;
+  std::vector<FlowQueue> flows;
+  std::unordered_map<std::uint64_t, FlowIndex> flow_indexes;
   DeadlineHeap deadlines;
   std::uint64_t last_sequence = 0;
 };
--- a/packages/core/src/scheduler/run_times.cc
+++ b/packages/core/src/scheduler/run_times.cc
@@ -8,12 +8,12 @@
 
 constexpr double kBucketsPerOctave = 4.0;
 /// Samples after which all weights are halved.
-constexpr std::uint32_t kFadeAt = 2048;
+constexpr std::uint32_t kMaxSamples = 2048;
 /// While samples are few each one counts at once; later a batch does.
-constexpr std::uint32_t kBatch = 32;
+constexpr std::uint32_t kSamplesPerUpdate = 32;
 /// A task inside the last bucket of samples has about this part of its time
 /// left, half the width of a bucket.
-constexpr std::int64_t kPartOfBucket = 10;
+constexpr std::int64_t kRemainingDivisor = 10;
 
 std::size_t BucketOf(Duration run, std::size_t buckets) {
   const auto us = static_cast<double>(std::max<Duration::rep>(run.count(), 1));
@@ -34,14 +34,15 @@
   ++this->counts[BucketOf(run, kBuckets)];
   ++this->total;
   this->sum_us += static_cast<double>(run.count());
-  if (this->total >= kFadeAt) this->Fade();
-  ++this->unsummarised;
-  if (this->total < 2 * kBatch || this->unsummarised >= kBatch) {
-    this->Summarise();
+  if (this->total >= kMaxSamples) this->HalveCounts();
+  ++this->samples_since_update;
+  if (this->total < 2 * kSamplesPerUpdate ||
+      this->samples_since_update >= kSamplesPerUpdate) {
+    this->UpdateQuantiles();
   }
 }
 
-void RunTimes::Fade() {
+void RunTimes::HalveCounts() {
   const double before = this->total;
   this->total = 0;
   for (std::uint32_t& count : this->counts) {
@@ -51,8 +52,8 @@
   this->sum_us *= this->total / before;
 }
 
-void RunTimes::Summarise() {
-  this->unsummarised = 0;
+void RunTimes::UpdateQuantiles() {
+  this->samples_since_update = 0;
   this->median = this->Quantile(0.5);
   this->p90 = this->Quantile(0.9);
   std::uint32_t above = 0;
@@ -88,7 +89,7 @@
   const Duration end = this->median_from[bucket];
   if (end > elapsed) return end - elapsed;
   const bool outlived = end == Duration(0);
-  const Duration left = outlived ? elapsed : elapsed / kPartOfBucket;
+  const Duration left = outlived ? elapsed : elapsed / kRemainingDivisor;
   return std::max(left, Duration(1));
 }
 
--- a/packages/core/src/scheduler/run_times.h
+++ b/packages/core/src/scheduler/run_times.h
@@ -14,7 +14,7 @@
 class RunTimes {
  public:
   void Add(Duration run);
-  [[nodiscard]] bool Measured() const { return this->total > 0; }
+  [[nodiscard]] bool HasSamples() const { return this->total > 0; }
   /// @return zero without samples
   [[nodiscard]] Duration Median() const { return this->median; }
   [[nodiscard]] Duration NinetiethPercentile() const { return this->p90; }
@@ -26,15 +26,15 @@
  private:
   static constexpr std::size_t kBuckets = 168;
 
-  void Fade();
-  void Summarise();
+  void HalveCounts();
+  void UpdateQuantiles();
   [[nodiscard]] Duration Quantile(double share) const;
 
   std::array<std::uint32_t, kBuckets> counts{};
   /// Median of all samples at or above a bucket.
   std::array<Duration, kBuckets> median_from{};
   std::uint32_t total = 0;
-  std::uint32_t unsummarised = 0;
+  std::uint32_t samples_since_update = 0;
   double sum_us = 0;
   Duration median{0};
   Duration p90{0};
--- a/packages/core/src/scheduler/running_tasks.cc
+++ b/packages/core/src/scheduler/running_tasks.cc
@@ -17,7 +17,7 @@
   const TaskId task = entry.task;
   const auto [found, added] = this->entries.emplace(task, std::move(entry));
   if (!added) return false;
-  this->CountRelease(found->second, 1.0);
+  this->AdjustReleaseRate(found->second, 1.0);
   if (!found->second.preemptible) return true;
   this->victims.insert(&found->second);
   this->preemptible += found->second.resources;
@@ -30,11 +30,11 @@
   this->victims.erase(&found->second);
   RunningEntry entry = std::move(found->second);
   this->entries.erase(found);
-  this->CountRelease(entry, -1.0);
+  this->AdjustReleaseRate(entry, -1.0);
   if (entry.preemptible) this->preemptible -= entry.resources;
-  if (entry.stop_group) {
-    const auto group = this->stop_groups.find(*entry.stop_group);
-    if (--group->second == 0) this->stop_groups.erase(group);
+  if (entry.preemption_group) {
+    const auto group = this->preemption_groups.find(*entry.preemption_group);
+    if (--group->second == 0) this->preemption_groups.erase(group);
   }
   return entry;
 }
@@ -44,27 +44,27 @@
   return found == this->entries.end() ? nullptr : &found->second;
 }
 
-void RunningTasks::CountRelease(const RunningEntry& entry, double sign) {
-  double& sum =
-      entry.priority == 0 ? this->urgent_release : this->other_release;
+void RunningTasks::AdjustReleaseRate(const RunningEntry& entry, double sign) {
+  double& sum = entry.priority == 0 ? this->urgent_release_rate
+                                    : this->non_urgent_release_rate;
   sum = std::max(0.0, sum + sign * entry.release_per_second);
   // Sums of floating point drift; with nothing running they are exactly zero.
   if (!this->entries.empty()) return;
-  this->urgent_release = 0;
-  this->other_release = 0;
+  this->urgent_release_rate = 0;
+  this->non_urgent_release_rate = 0;
 }
 
 double RunningTasks::ReleasePerSecond() const {
-  return this->urgent_release + this->other_release;
+  return this->urgent_release_rate + this->non_urgent_release_rate;
 }
 
-double RunningTasks::OtherReleasePerSecond() const {
-  return this->other_release;
+double RunningTasks::NonUrgentReleasePerSecond() const {
+  return this->non_urgent_release_rate;
 }
 
 const Resources& RunningTasks::Preemptible() const { return this->preemptible; }
 
-std::vector<ExpectedRelease> RunningTasks::Releases(
+std::vector<ExpectedRelease> RunningTasks::ExpectedReleases(
     Instant now, const Catalog& catalog) const {
   std::vector<ExpectedRelease> releases;
   releases.reserve(this->entries.size());
@@ -80,16 +80,16 @@
   return releases;
 }
 
-void RunningTasks::MarkStopping(const TaskId& task, StopGroup group) {
+void RunningTasks::MarkPreempted(const TaskId& task, PreemptionGroup group) {
   const auto found = this->entries.find(task);
-  if (found == this->entries.end() || found->second.stop_group) return;
+  if (found == this->entries.end() || found->second.preemption_group) return;
   this->victims.erase(&found->second);
-  found->second.stop_group = group;
-  ++this->stop_groups[group];
+  found->second.preemption_group = group;
+  ++this->preemption_groups[group];
 }
 
-std::size_t RunningTasks::OpenStopGroups() const {
-  return this->stop_groups.size();
+std::size_t RunningTasks::ActivePreemptionGroups() const {
+  return this->preemption_groups.size();
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/scheduler/running_tasks.h
+++ b/packages/core/src/scheduler/running_tasks.h
@@ -14,7 +14,7 @@
 namespace mustardproxy::detail {
 
 /// Names a group of tasks that are stopped to make room for one urgent task.
-using StopGroup = std::uint64_t;
+using PreemptionGroup = std::uint64_t;
 
 /// A placed task.
 struct RunningEntry {
@@ -31,7 +31,7 @@
   bool preemptible = false;
   bool gang = false;
   /// Set once it was named a victim.
-  std::optional<StopGroup> stop_group;
+  std::optional<PreemptionGroup> preemption_group;
 };
 
 /// Tasks that are placed and have not ended.
@@ -46,12 +46,12 @@
   /// run as long as expected.
   [[nodiscard]] double ReleasePerSecond() const;
   /// The same without urgent tasks (priority 0).
-  [[nodiscard]] double OtherReleasePerSecond() const;
+  [[nodiscard]] double NonUrgentReleasePerSecond() const;
   /// Sum over tasks that may be stopped for urgent work, or are being stopped.
   [[nodiscard]] const Resources& Preemptible() const;
   /// @return when tasks are expected to end, in order of time
   /// @complexity n log n in the number of running tasks
-  [[nodiscard]] std::vector<ExpectedRelease> Releases(
+  [[nodiscard]] std::vector<ExpectedRelease> ExpectedReleases(
       Instant now, const Catalog& catalog) const;
 
   /// Calls `visit(entry)` for each task that may be stopped, cheapest loss
@@ -59,14 +59,16 @@
   /// least urgent first, then the one started last.
   template <typename Visitor>
   void VisitVictims(Visitor visit) const;
-  [[nodiscard]] StopGroup NewStopGroup() { return ++this->last_group; }
+  [[nodiscard]] PreemptionGroup NewPreemptionGroup() {
+    return ++this->last_group;
+  }
   /// The task is no longer offered as a victim.
-  void MarkStopping(const TaskId& task, StopGroup group);
+  void MarkPreempted(const TaskId& task, PreemptionGroup group);
   /// @return groups of which some task still runs
-  [[nodiscard]] std::size_t OpenStopGroups() const;
+  [[nodiscard]] std::size_t ActivePreemptionGroups() const;
 
  private:
-  void CountRelease(const RunningEntry& entry, double sign);
+  void AdjustReleaseRate(const RunningEntry& entry, double sign);
 
   struct VictimOrder {
     bool operator()(const RunningEntry* a, const RunningEntry* b) const;
@@ -74,10 +76,10 @@
 
   std::unordered_map<TaskId, RunningEntry> entries;
   std::set<const RunningEntry*, VictimOrder> victims;
-  std::unordered_map<StopGroup, std::size_t> stop_groups;
-  StopGroup last_group = 0;
-  double urgent_release = 0;
-  double other_release = 0;
+  std::unordered_map<PreemptionGroup, std::size_t> preemption_groups;
+  PreemptionGroup last_group = 0;
+  double urgent_release_rate = 0;
+  double non_urgent_release_rate = 0;
   Resources preemptible;
 };
 
--- a/packages/core/src/scheduler/scheduler.cc
+++ b/packages/core/src/scheduler/scheduler.cc
@@ -39,8 +39,9 @@
     return {Error::kUnknownTeam, "team " + request.team.Text(), Duration(0)};
   }
   if (this->state->queue.Contains(request.request)) return {};
-  const detail::TeamIndex team = this->state->catalog.TeamNumber(request.team);
-  this->state->FollowCapacity(ledger);
+  const detail::TeamIndex team =
+      this->state->catalog.FindOrAddTeam(request.team);
+  this->state->UpdateCapacity(ledger);
   detail::ServiceEntry& entry = this->state->catalog.ServiceAt(*service);
   entry.arrivals.Add(now, 1.0);
   if (!recovered) {
@@ -48,12 +49,12 @@
                                                  request, *service, team);
     if (admission.refusal) return admission;
   }
-  this->state->Join(now, std::move(request), *service, team);
+  this->state->AddRequest(now, std::move(request), *service, team);
   return {};
 }
 
 bool Scheduler::Cancel(const RequestId& request) {
-  return this->state->Leave(request).has_value();
+  return this->state->RemoveRequest(request).has_value();
 }
 
 std::vector<Placement> Scheduler::Schedule(Instant now, Ledger* ledger,
@@ -69,19 +70,19 @@
 
 std::vector<RequestId> Scheduler::Expire(Instant now) {
   std::vector<RequestId> expired;
-  while (const auto slot = this->state->queue.Expired(now)) {
+  while (const auto slot = this->state->queue.FirstExpired(now)) {
     expired.push_back(this->state->queue.At(*slot).request.request);
-    this->state->Leave(expired.back());
+    this->state->RemoveRequest(expired.back());
   }
   return expired;
 }
 
 void Scheduler::TaskDone(Instant now, Ledger* ledger, const TaskId& task,
                          bool ran) {
-  const auto entry = this->state->End(task, ledger);
+  const auto entry = this->state->RemoveRunningTask(task, ledger);
   if (!entry) return;
   // A task stopped to make room says nothing of how long its kind runs.
-  if (!ran || entry->stop_group) return;
+  if (!ran || entry->preemption_group) return;
   this->state->catalog.ServiceAt(entry->service)
       .run_times.Add(std::max(now - entry->started, Duration(1)));
 }
@@ -93,12 +94,12 @@
   detail::RunningEntry entry;
   entry.task = task;
   entry.request = request;
-  entry.service = this->state->catalog.ServiceNumber(service);
-  entry.team = this->state->catalog.TeamNumber(team);
+  entry.service = this->state->catalog.FindOrAddService(service);
+  entry.team = this->state->catalog.FindOrAddTeam(team);
   entry.worker = worker;
   entry.resources = this->state->catalog.ServiceAt(entry.service).resources;
   entry.started = now - running_for;
-  this->state->Start(std::move(entry));
+  this->state->AddRunningTask(std::move(entry));
 }
 
 Duration Scheduler::PredictWait(Instant now, const Ledger& ledger,
@@ -110,19 +111,19 @@
 
 Duration Scheduler::RetryAfter(Instant now) const {
   return std::max(detail::ForecastDrain(now, *this->state),
-                  detail::kLeastRetryAfter);
+                  detail::kMinRetryAfter);
 }
 
 std::optional<Instant> Scheduler::NextWakeup() const {
-  if (this->state->stopped_at_limit) return this->state->stopped_at_limit;
+  if (this->state->limit_reached_at) return this->state->limit_reached_at;
   std::optional<Instant> next = this->state->queue.NextDeadline();
   const auto sooner = [&next](std::optional<Instant> other) {
     if (other && (!next || *other < *next)) next = other;
   };
-  if (this->state->waits_for_headroom) {
+  if (this->state->blocked_by_headroom) {
     sooner(this->state->headroom.NextUpdate());
   }
-  sooner(this->state->reservation.NextPlan());
+  sooner(this->state->reservation.NextPlanTime());
   return next;
 }
 
--- a/packages/core/src/scheduler/scheduler_state.cc
+++ b/packages/core/src/scheduler/scheduler_state.cc
@@ -8,9 +8,9 @@
 namespace {
 
 /// Run time below which an expected release rate would say nothing.
-constexpr Duration kLeastRun = std::chrono::milliseconds(1);
+constexpr Duration kMinRunTime = std::chrono::milliseconds(1);
 
-void Count(ProfileCount* counts, TeamIndex team, std::int64_t change) {
+void AdjustCount(ProfileCount* counts, TeamIndex team, std::int64_t change) {
   if (team >= counts->by_team.size()) counts->by_team.resize(team + 1);
   counts->all += change;
   counts->by_team[team] += change;
@@ -18,12 +18,12 @@
 
 }  // namespace
 
-double SchedulerState::ShareOf(TeamIndex team) const {
+double SchedulerState::WeightedShareOf(TeamIndex team) const {
   const TeamEntry& entry = this->catalog.TeamAt(team);
   return DominantShare(entry.used, this->total_capacity) / entry.weight;
 }
 
-double SchedulerState::SizeOf(const Resources& resources) const {
+double SchedulerState::DominantShareOf(const Resources& resources) const {
   return DominantShare(resources, this->total_capacity);
 }
 
@@ -32,30 +32,30 @@
 }
 
 bool SchedulerState::BelowGuarantee(const PriorityBand& band) const {
-  return this->SizeOf(band.held) < this->guaranteed_share;
+  return this->DominantShareOf(band.in_use) < this->guaranteed_share;
 }
 
-void SchedulerState::Rank(TeamIndex team) {
-  const double share = this->ShareOf(team);
-  for (auto& [priority, band] : this->bands) band.Rank(team, share);
+void SchedulerState::UpdateTeamShare(TeamIndex team) {
+  const double share = this->WeightedShareOf(team);
+  for (auto& [priority, band] : this->bands) band.UpdateTeamShare(team, share);
 }
 
-void SchedulerState::FollowCapacity(const Ledger& ledger) {
+void SchedulerState::UpdateCapacity(const Ledger& ledger) {
   const Resources total = ledger.TotalCapacity();
   if (total == this->total_capacity) return;
   this->total_capacity = total;
   for (TeamIndex team = 0; team < this->catalog.TeamCount(); ++team) {
-    this->Rank(team);
+    this->UpdateTeamShare(team);
   }
 }
 
-void SchedulerState::File(const QueueEntry& entry) {
-  const RequestQueue::Lane& lane = this->queue.LaneAt(entry.lane);
-  PriorityBand& band = this->BandOf(lane.service);
-  band.Join({entry.lane, lane.service, lane.team, entry.size},
-            this->ShareOf(lane.team));
-  const ProfileId& profile = this->catalog.ServiceAt(lane.service).profile.id;
-  Count(&this->queued_by_profile[profile], lane.team, 1);
+void SchedulerState::AddToBand(const QueueEntry& entry) {
+  const RequestQueue::FlowQueue& flow = this->queue.FlowAt(entry.flow);
+  PriorityBand& band = this->BandOf(flow.service);
+  band.AddRequest({entry.flow, flow.service, flow.team, entry.size},
+                  this->WeightedShareOf(flow.team));
+  const ProfileId& profile = this->catalog.ServiceAt(flow.service).profile.id;
+  AdjustCount(&this->queued_by_profile[profile], flow.team, 1);
 }
 
 void SchedulerState::RebuildBands() {
@@ -66,35 +66,38 @@
     PriorityBand& fresh = this->bands[priority];
     fresh.drain = band.drain;
     fresh.arrivals = band.arrivals;
-    fresh.held = band.held;
+    fresh.in_use = band.in_use;
   }
-  this->queue.Visit([this](const QueueEntry& entry) { this->File(entry); });
+  this->queue.Visit(
+      [this](const QueueEntry& entry) { this->AddToBand(entry); });
 }
 
-void SchedulerState::Join(Instant now, QueuedRequest request,
-                          ServiceIndex service, TeamIndex team) {
-  const LaneIndex lane = this->queue.LaneFor(service, team);
-  const double size = this->SizeOf(this->catalog.ServiceAt(service).all_tasks);
-  const RequestSlot slot = this->queue.Add(std::move(request), lane, size);
-  this->File(this->queue.At(slot));
+void SchedulerState::AddRequest(Instant now, QueuedRequest request,
+                                ServiceIndex service, TeamIndex team) {
+  const FlowIndex flow = this->queue.FindOrAddFlow(service, team);
+  const double size =
+      this->DominantShareOf(this->catalog.ServiceAt(service).request_resources);
+  const RequestSlot slot = this->queue.Add(std::move(request), flow, size);
+  this->AddToBand(this->queue.At(slot));
   this->BandOf(service).arrivals.Add(now, size);
 }
 
-std::optional<QueueEntry> SchedulerState::Leave(const RequestId& request) {
+std::optional<QueueEntry> SchedulerState::RemoveRequest(
+    const RequestId& request) {
   std::optional<QueueEntry> entry = this->queue.Remove(request);
   if (!entry) return std::nullopt;
-  const RequestQueue::Lane& lane = this->queue.LaneAt(entry->lane);
-  this->BandOf(lane.service)
-      .Leave({entry->lane, lane.service, lane.team, entry->size});
-  const ProfileId& profile = this->catalog.ServiceAt(lane.service).profile.id;
-  Count(&this->queued_by_profile[profile], lane.team, -1);
+  const RequestQueue::FlowQueue& flow = this->queue.FlowAt(entry->flow);
+  this->BandOf(flow.service)
+      .RemoveRequest({entry->flow, flow.service, flow.team, entry->size});
+  const ProfileId& profile = this->catalog.ServiceAt(flow.service).profile.id;
+  AdjustCount(&this->queued_by_profile[profile], flow.team, -1);
   return entry;
 }
 
-void SchedulerState::Start(RunningEntry entry) {
+void SchedulerState::AddRunningTask(RunningEntry entry) {
   ServiceEntry& service = this->catalog.ServiceAt(entry.service);
-  const Duration run = std::max(service.MeanRun(), kLeastRun);
-  entry.release_per_second = this->SizeOf(entry.resources) /
+  const Duration run = std::max(service.MeanRunTime(), kMinRunTime);
+  entry.release_per_second = this->DominantShareOf(entry.resources) /
                              std::chrono::duration<double>(run).count();
   entry.priority = service.profile.priority;
   entry.preemptible = service.profile.preemptible && entry.priority > 0;
@@ -104,24 +107,27 @@
   const std::int32_t priority = entry.priority;
   const bool urgent = priority == 0;
   if (!this->running.Add(std::move(entry))) return;
-  this->bands[priority].held += resources;
-  if (urgent) this->headroom.UrgentStarted();
-  this->headroom.FollowOtherWork(this->running.OtherReleasePerSecond());
+  this->bands[priority].in_use += resources;
+  if (urgent) this->headroom.OnUrgentStarted();
+  this->headroom.SetNonUrgentReleaseRate(
+      this->running.NonUrgentReleasePerSecond());
   this->catalog.TeamAt(team).used += resources;
-  this->Rank(team);
+  this->UpdateTeamShare(team);
 }
 
-std::optional<RunningEntry> SchedulerState::End(const TaskId& task,
-                                                Ledger* ledger) {
+std::optional<RunningEntry> SchedulerState::RemoveRunningTask(
+    const TaskId& task, Ledger* ledger) {
   std::optional<RunningEntry> entry = this->running.Remove(task);
   if (!entry) return std::nullopt;
   ledger->Release(entry->worker, task);
-  this->reservation.OnFreed(entry->worker, entry->resources, ledger);
-  this->bands[entry->priority].held -= entry->resources;
-  if (entry->priority == 0) this->headroom.UrgentEnded();
-  this->headroom.FollowOtherWork(this->running.OtherReleasePerSecond());
+  this->reservation.OnResourcesReleased(entry->worker, entry->resources,
+                                        ledger);
+  this->bands[entry->priority].in_use -= entry->resources;
+  if (entry->priority == 0) this->headroom.OnUrgentEnded();
+  this->headroom.SetNonUrgentReleaseRate(
+      this->running.NonUrgentReleasePerSecond());
   this->catalog.TeamAt(entry->team).used -= entry->resources;
-  this->Rank(entry->team);
+  this->UpdateTeamShare(entry->team);
   return entry;
 }
 
--- a/packages/core/src/scheduler/scheduler_state.h
+++ b/packages/core/src/scheduler/scheduler_state.h
@@ -39,31 +39,32 @@
   /// Of all owned workers, when last looked at.
   Resources total_capacity;
   /// The last pass ended at its limit, with more to be placed.
-  std::optional<Instant> stopped_at_limit;
+  std::optional<Instant> limit_reached_at;
   /// Something waits only because of the headroom.
-  bool waits_for_headroom = false;
+  bool blocked_by_headroom = false;
 
   /// Follows a change of the owned workers.
-  void FollowCapacity(const Ledger& ledger);
+  void UpdateCapacity(const Ledger& ledger);
   /// Files all waiting requests anew, since priorities may have changed.
   void RebuildBands();
-  [[nodiscard]] double ShareOf(TeamIndex team) const;
-  [[nodiscard]] double SizeOf(const Resources& resources) const;
+  [[nodiscard]] double WeightedShareOf(TeamIndex team) const;
+  [[nodiscard]] double DominantShareOf(const Resources& resources) const;
   [[nodiscard]] PriorityBand& BandOf(ServiceIndex service);
   /// @return true if a band's tasks hold less than what is guaranteed to it
   [[nodiscard]] bool BelowGuarantee(const PriorityBand& band) const;
 
-  void Join(Instant now, QueuedRequest request, ServiceIndex service,
-            TeamIndex team);
+  void AddRequest(Instant now, QueuedRequest request, ServiceIndex service,
+                  TeamIndex team);
   /// @return the entry, if the request was queued
-  std::optional<QueueEntry> Leave(const RequestId& request);
-  void Start(RunningEntry entry);
+  std::optional<QueueEntry> RemoveRequest(const RequestId& request);
+  void AddRunningTask(RunningEntry entry);
   /// Frees the task in the ledger and all counts.
-  std::optional<RunningEntry> End(const TaskId& task, Ledger* ledger);
+  std::optional<RunningEntry> RemoveRunningTask(const TaskId& task,
+                                                Ledger* ledger);
 
  private:
-  void Rank(TeamIndex team);
-  void File(const QueueEntry& entry);
+  void UpdateTeamShare(TeamIndex team);
+  void AddToBand(const QueueEntry& entry);
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/scheduler/victim_search.h
+++ b/packages/core/src/scheduler/victim_search.h
@@ -10,7 +10,7 @@
 namespace mustardproxy::detail {
 
 /// See `Scheduler::ChooseVictims`. Chosen tasks are marked as stopping; room
-/// already promised by earlier ones is not asked for again.
+/// already pending by earlier ones is not asked for again.
 [[nodiscard]] std::vector<Preemption> SearchVictims(const Ledger& ledger,
                                                     SchedulerState* state);
 
--- a/packages/core/src/scheduler/wait_forecast.cc
+++ b/packages/core/src/scheduler/wait_forecast.cc
@@ -9,12 +9,12 @@
 namespace {
 
 /// Waits are cut off here; nothing allows a longer one.
-constexpr double kLongestSeconds = 30.0 * 24 * 3600;
+constexpr double kMaxWaitSeconds = 30.0 * 24 * 3600;
 /// Part of the drain that is always left to less urgent work in a forecast.
-constexpr double kLeastPartOfDrain = 0.05;
+constexpr double kMinDrainFraction = 0.05;
 
 Duration FromSeconds(double seconds) {
-  const double bounded = std::clamp(seconds, 0.0, kLongestSeconds);
+  const double bounded = std::clamp(seconds, 0.0, kMaxWaitSeconds);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(bounded));
 }
@@ -22,8 +22,8 @@
 /// @return what waits in a band and is placed before a request of `size` of
 ///   `team`: all of the team's own, and of each other team as much as fair
 ///   share gives it in the meantime
-double AheadInBand(const SchedulerState& state, const PriorityBand& band,
-                   double size, std::optional<TeamIndex> team) {
+double BacklogAhead(const SchedulerState& state, const PriorityBand& band,
+                    double size, std::optional<TeamIndex> team) {
   if (!team) return band.Backlog();
   const double own = band.BacklogOf(*team);
   const double weight = state.catalog.TeamAt(*team).weight;
@@ -38,8 +38,8 @@
 
 /// @return share of the cell that a request could take now, for urgent work
 ///   with what may be stopped for it
-double FreeFor(const SchedulerState& state, const Ledger& ledger,
-               const ServiceEntry& service) {
+double AvailableShare(const SchedulerState& state, const Ledger& ledger,
+                      const ServiceEntry& service) {
   Resources free = ledger.TotalFree();
   const bool urgent = service.profile.priority == 0;
   const bool fits = service.resources.FitsIn(ledger.LargestFree());
@@ -49,16 +49,16 @@
   } else {
     if (!fits) return 0;
     const std::int64_t wanted =
-        state.headroom.WantedOf(service.profile.priority);
+        state.headroom.ReservedTasksFor(service.profile.priority);
     if (wanted > 0 && ledger.TrackedFitCount() <= wanted) return 0;
   }
   const auto room = static_cast<double>(CountFitting(service.resources, free));
-  return room * state.SizeOf(service.resources);
+  return room * state.DominantShareOf(service.resources);
 }
 
 /// @return share of the cell per second that goes to one priority
-double DrainFor(Instant now, const SchedulerState& state,
-                std::int32_t priority) {
+double DrainRateFor(Instant now, const SchedulerState& state,
+                    std::int32_t priority) {
   double more_urgent = 0;
   std::optional<double> measured;
   for (const auto& [level, band] : state.bands) {
@@ -67,7 +67,7 @@
     if (level == priority) measured = band.drain.PerSecond(now);
   }
   const double drain = measured.value_or(state.running.ReleasePerSecond());
-  return std::max(drain - more_urgent, drain * kLeastPartOfDrain);
+  return std::max(drain - more_urgent, drain * kMinDrainFraction);
 }
 
 }  // namespace
@@ -76,18 +76,18 @@
                       const Ledger& ledger, ServiceIndex service,
                       std::optional<TeamIndex> team) {
   const ServiceEntry& entry = state.catalog.ServiceAt(service);
-  const double size = state.SizeOf(entry.all_tasks);
+  const double size = state.DominantShareOf(entry.request_resources);
   double ahead = 0;
   for (const auto& [level, band] : state.bands) {
     if (level > entry.profile.priority) break;
     ahead += level < entry.profile.priority
                  ? band.Backlog()
-                 : AheadInBand(state, band, size, team);
+                 : BacklogAhead(state, band, size, team);
   }
-  const double missing = ahead + size - FreeFor(state, ledger, entry);
+  const double missing = ahead + size - AvailableShare(state, ledger, entry);
   // Sizes are sums of fractions: a difference of rounding is no wait.
   if (missing <= size * 1e-9) return Duration(0);
-  const double drain = DrainFor(now, state, entry.profile.priority);
+  const double drain = DrainRateFor(now, state, entry.profile.priority);
   if (drain <= 0) return Duration(0);
   return FromSeconds(missing / drain);
 }
@@ -117,7 +117,7 @@
   if (over <= 0 || at_once <= 0) return Duration(0);
   const double rounds =
       static_cast<double>(over) / static_cast<double>(at_once);
-  const std::chrono::duration<double> run = entry.ExpectedRun();
+  const std::chrono::duration<double> run = entry.ExpectedRunTime();
   return FromSeconds(rounds * run.count());
 }
 
