--- a/packages/core/include/mustardproxy/core/core.h
+++ b/packages/core/include/mustardproxy/core/core.h
@@ -35,7 +35,7 @@
   /// The same for a start that the worker never confirmed. It may still lie
   /// unread in a worker that is frozen, and would run as soon as that goes on:
   /// its lease only begins there and then.
-  Duration unconfirmed_start_patience = std::chrono::seconds(60);
+  Duration unconfirmed_start_timeout = std::chrono::seconds(60);
   /// Most requests in progress here at once, of all kinds.
   std::int32_t max_requests = 20000;
   /// Seed of everything random in the core.
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -191,7 +191,7 @@
   if (tracked.phase != Phase::kSent) {
     return lapse;
   }
-  return std::max(lapse, tracked.since + options.unconfirmed_start_patience);
+  return std::max(lapse, tracked.since + options.unconfirmed_start_timeout);
 }
 
 }  // namespace mustardproxy::detail
--- a/testing/fault_matrix/src/cell.cc
+++ b/testing/fault_matrix/src/cell.cc
@@ -163,7 +163,7 @@
     core.self = self;
     core.peers = peers;
     core.task_lease = seconds(4);
-    core.unconfirmed_start_patience = seconds(15);
+    core.unconfirmed_start_timeout = seconds(15);
     this->processes.push_back(
         std::make_unique<EntryProcess>(&this->simulation, &this->around, core));
     this->around.processes[self.process] = this->processes.back().get();
