--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -141,13 +141,13 @@
   work->attempt = Attempt{};
 }
 
-void DeferredFlow::OnNews(const TaskNews& news) {
-  DeferredWork* work = this->Get(news.request);
-  if (work == nullptr || work->attempt.Find(news.task) == nullptr) {
+void DeferredFlow::OnTaskUpdate(const TaskUpdate& update) {
+  DeferredWork* work = this->Get(update.request);
+  if (work == nullptr || work->attempt.Find(update.task) == nullptr) {
     return;
   }
-  this->parts->placing.NoteHealth(news, work->request.service);
-  this->UpdateSlot(work, news);
+  this->parts->placing.NoteHealth(update, work->request.service);
+  this->UpdateSlot(work, update);
   if (work->phase == DeferredPhase::kRecording) {
     // A placement that is not sent yet has lost its worker.
     this->WithdrawRecording(work);
@@ -167,23 +167,23 @@
   }
 }
 
-void DeferredFlow::UpdateSlot(DeferredWork* work, const TaskNews& news) {
-  AttemptSlot* slot = work->attempt.Find(news.task);
-  switch (news.kind) {
-    case TaskNews::Kind::kStarted:
+void DeferredFlow::UpdateSlot(DeferredWork* work, const TaskUpdate& update) {
+  AttemptSlot* slot = work->attempt.Find(update.task);
+  switch (update.kind) {
+    case TaskUpdate::Kind::kStarted:
       slot->state = SlotState::kRunning;
       return;
-    case TaskNews::Kind::kUnclear:
+    case TaskUpdate::Kind::kUncertain:
       return;
-    case TaskNews::Kind::kNeverStarted:
+    case TaskUpdate::Kind::kNeverStarted:
       slot->state = SlotState::kNeverStarted;
-      slot->lease_lost = news.reason == Error::kStaleEpoch;
+      slot->lease_lost = update.reason == Error::kStaleEpoch;
       return;
-    case TaskNews::Kind::kEnded:
+    case TaskUpdate::Kind::kEnded:
       slot->state = SlotState::kEnded;
-      slot->ended = news.ended;
+      slot->ended = update.ended;
       return;
-    case TaskNews::Kind::kLost:
+    case TaskUpdate::Kind::kLost:
       slot->state = SlotState::kLost;
       return;
   }
--- a/packages/core/src/lifecycle/deferred_flow.h
+++ b/packages/core/src/lifecycle/deferred_flow.h
@@ -82,7 +82,7 @@
   void Resume(const DeferredEntry& entry);
 
   void OnPlaced(std::span<const Placement> placements);
-  void OnNews(const TaskNews& news);
+  void OnTaskUpdate(const TaskUpdate& update);
   void OnPreempted(const Preemption& preemption);
   /// The scheduler gave up on it, which must not lose it.
   void OnGivenUp(const RequestId& request);
@@ -118,7 +118,7 @@
   void SendTasks(DeferredWork* work);
   void WithdrawRecording(DeferredWork* work);
   void StopTasks(DeferredWork* work, bool checkpoint);
-  void UpdateSlot(DeferredWork* work, const TaskNews& news);
+  void UpdateSlot(DeferredWork* work, const TaskUpdate& update);
   void Settled(DeferredWork* work);
   void AfterFailure(DeferredWork* work, Verdict verdict);
   void AfterRefusal(DeferredWork* work);
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -91,7 +91,7 @@
 }
 
 void Parts::Advance() {
-  this->RouteNews();
+  this->DispatchTaskUpdates();
   this->requests.Tick();
   this->forwarding.Tick();
   this->deferred.Tick();
@@ -102,42 +102,42 @@
   this->placing.Expire();
   this->placing.Run();
   this->placing.ChooseVictims();
-  this->RouteNews();
+  this->DispatchTaskUpdates();
   this->workers.Tick();
   this->TickMembership();
   this->configuration.Tick();
   this->adoption.Tick();
   this->shutdown.Tick();
-  this->RouteNews();
+  this->DispatchTaskUpdates();
   this->journals.Tick();
   this->Housekeep();
 }
 
-void Parts::RouteNews() {
-  std::vector<TaskNews> news = this->tasks.TakeNews();
-  while (!news.empty()) {
-    for (const TaskNews& each : news) {
+void Parts::DispatchTaskUpdates() {
+  std::vector<TaskUpdate> updates = this->tasks.TakeUpdates();
+  while (!updates.empty()) {
+    for (const TaskUpdate& each : updates) {
       if (each.request.Empty()) {
         continue;
       }
       if (this->deferred.Find(each.request) != nullptr) {
-        this->deferred.OnNews(each);
+        this->deferred.OnTaskUpdate(each);
       } else {
-        this->requests.OnNews(each);
+        this->requests.OnTaskUpdate(each);
       }
     }
-    news = this->tasks.TakeNews();
+    updates = this->tasks.TakeUpdates();
   }
 }
 
 void Parts::TickMembership() {
   const Instant now = this->context.now;
-  const PeerNews news{this->context.configuration.version,
-                      this->context.stopping, this->context.platform_reachable,
-                      this->journals.Generation()};
+  const AnnouncedState current{
+      this->context.configuration.version, this->context.stopping,
+      this->context.platform_reachable, this->journals.Generation()};
   const bool due = this->membership.NextWakeup() <= now;
-  if (due || news != this->told_peers) {
-    this->told_peers = news;
+  if (due || current != this->announced_state) {
+    this->announced_state = current;
     this->membership.Tick(now, this->OwnDigest(), this->context.actions);
   }
   for (const ProcessId& peer : this->membership.TakeLost(now)) {
@@ -282,25 +282,25 @@
                           : this->context.configuration.default_team;
 }
 
-void Parts::SettleLateAnswer(const TaskNews& news) {
-  const bool running = news.kind == TaskNews::Kind::kStarted ||
-                       news.kind == TaskNews::Kind::kUnclear;
+void Parts::SettleLateAnswer(const TaskUpdate& update) {
+  const bool running = update.kind == TaskUpdate::Kind::kStarted ||
+                       update.kind == TaskUpdate::Kind::kUncertain;
   if (running) {
     return;
   }
-  const bool whole = news.kind == TaskNews::Kind::kEnded &&
-                     (news.ended.end == TaskEnd::kFinished ||
-                      news.ended.end == TaskEnd::kFailed);
+  const bool whole = update.kind == TaskUpdate::Kind::kEnded &&
+                     (update.ended.end == TaskEnd::kFinished ||
+                      update.ended.end == TaskEnd::kFailed);
   if (!whole) {
-    this->claims.ForgetLate(news.request);
+    this->claims.ForgetLate(update.request);
     return;
   }
   Answer answer;
   answer.outcome = Outcome::kCompleted;
-  answer.status = news.ended.status;
-  answer.content_type = news.ended.content_type;
-  answer.body = news.ended.body;
-  this->claims.SettleLate(news.request, answer);
+  answer.status = update.ended.status;
+  answer.content_type = update.ended.content_type;
+  answer.body = update.ended.body;
+  this->claims.SettleLate(update.request, answer);
 }
 
 void Parts::StopAtPeers(const RequestId& request) {
--- a/packages/core/src/lifecycle/parts.h
+++ b/packages/core/src/lifecycle/parts.h
@@ -34,13 +34,14 @@
 namespace mustardproxy::detail {
 
 /// What peers should learn soon, not only with the next heartbeat.
-struct PeerNews {
+struct AnnouncedState {
   ConfigurationVersion configuration = 0;
   bool stopping = false;
   bool platform_reachable = true;
   std::uint64_t journals = 0;
 
-  friend bool operator==(const PeerNews&, const PeerNews&) = default;
+  friend bool operator==(const AnnouncedState&,
+                         const AnnouncedState&) = default;
 };
 
 /// All parts of one core. Each part reaches the others through it; news flows
@@ -104,21 +105,21 @@
   [[nodiscard]] TeamId TeamOf(const RequestId& request);
 
   /// A task has ended after its request was answered "unknown".
-  void SettleLateAnswer(const TaskNews& news);
+  void SettleLateAnswer(const TaskUpdate& update);
   /// Stops tasks of a request at workers that peers own.
   void StopAtPeers(const RequestId& request);
   /// Cuts an end that is too large for the journal down to a failure.
   [[nodiscard]] FinishedRecord Bounded(FinishedRecord record) const;
 
  private:
-  void RouteNews();
+  void DispatchTaskUpdates();
   void TickMembership();
   void Housekeep();
   void HandOverStranded();
 
   std::int32_t process_number = 0;
   std::uint64_t last_query = 0;
-  PeerNews told_peers;
+  AnnouncedState announced_state;
   Instant next_housekeeping;
   Instant stranded_since = Instant::max();
 };
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -146,17 +146,17 @@
   }
 }
 
-void Placing::NoteHealth(const TaskNews& news, const ServiceId& service) {
+void Placing::NoteHealth(const TaskUpdate& update, const ServiceId& service) {
   const Instant now = this->parts->context.now;
-  const bool failed =
-      news.kind == TaskNews::Kind::kEnded && news.ended.end == TaskEnd::kFailed;
-  const bool fine = news.kind == TaskNews::Kind::kEnded &&
-                    news.ended.end == TaskEnd::kFinished;
-  if (failed || news.unreachable) {
-    this->parts->health.OnFailure(now, news.worker, service, news.request);
+  const bool failed = update.kind == TaskUpdate::Kind::kEnded &&
+                      update.ended.end == TaskEnd::kFailed;
+  const bool fine = update.kind == TaskUpdate::Kind::kEnded &&
+                    update.ended.end == TaskEnd::kFinished;
+  if (failed || update.unreachable) {
+    this->parts->health.OnFailure(now, update.worker, service, update.request);
     this->health_changed = true;
   } else if (fine) {
-    this->parts->health.OnSuccess(now, news.worker, service);
+    this->parts->health.OnSuccess(now, update.worker, service);
   }
 }
 
--- a/packages/core/src/lifecycle/placing.h
+++ b/packages/core/src/lifecycle/placing.h
@@ -46,7 +46,7 @@
   void Avoid(std::vector<WorkerId>* avoid,
              std::span<const WorkerId> failed) const;
   /// Feeds the health of workers.
-  void NoteHealth(const TaskNews& news, const ServiceId& service);
+  void NoteHealth(const TaskUpdate& update, const ServiceId& service);
   /// @return true if the health of a worker may have changed since last time
   [[nodiscard]] bool TakeHealthChanged() {
     return std::exchange(this->health_changed, false);
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -14,33 +14,33 @@
 
 }  // namespace
 
-void RequestFlow::OnNews(const TaskNews& news) {
-  ActiveRequest* entry = this->parts->table.Find(news.request);
+void RequestFlow::OnTaskUpdate(const TaskUpdate& update) {
+  ActiveRequest* entry = this->parts->table.Find(update.request);
   if (entry == nullptr) {
-    this->parts->SettleLateAnswer(news);
+    this->parts->SettleLateAnswer(update);
     return;
   }
-  AttemptSlot* slot = entry->attempt.Find(news.task);
+  AttemptSlot* slot = entry->attempt.Find(update.task);
   if (slot == nullptr) {
     return;
   }
-  this->parts->placing.NoteHealth(news, entry->request.service);
-  switch (news.kind) {
-    case TaskNews::Kind::kStarted:
+  this->parts->placing.NoteHealth(update, entry->request.service);
+  switch (update.kind) {
+    case TaskUpdate::Kind::kStarted:
       slot->state = SlotState::kRunning;
       return;
-    case TaskNews::Kind::kUnclear:
-      this->OnUnclear(entry, news);
+    case TaskUpdate::Kind::kUncertain:
+      this->OnUncertain(entry, update);
       return;
-    case TaskNews::Kind::kNeverStarted:
+    case TaskUpdate::Kind::kNeverStarted:
       slot->state = SlotState::kNeverStarted;
-      slot->lease_lost = news.reason == Error::kStaleEpoch;
+      slot->lease_lost = update.reason == Error::kStaleEpoch;
       break;
-    case TaskNews::Kind::kEnded:
+    case TaskUpdate::Kind::kEnded:
       slot->state = SlotState::kEnded;
-      slot->ended = news.ended;
+      slot->ended = update.ended;
       break;
-    case TaskNews::Kind::kLost:
+    case TaskUpdate::Kind::kLost:
       slot->state = SlotState::kLost;
       break;
   }
@@ -54,14 +54,14 @@
   }
 }
 
-void RequestFlow::OnUnclear(ActiveRequest* entry, const TaskNews& news) {
+void RequestFlow::OnUncertain(ActiveRequest* entry, const TaskUpdate& update) {
   entry->may_have_run = true;
   // Nothing more can be learnt in time that would allow a second start, so a
   // non-idempotent request is answered now instead of at its deadline.
   if (!entry->terms.idempotent) {
     this->parts->answers.Unknown(
         entry, Error::kAnswerIncomplete,
-        "the answer of worker " + news.worker.Text() + " was lost");
+        "the answer of worker " + update.worker.Text() + " was lost");
   }
 }
 
--- a/packages/core/src/lifecycle/request_flow.h
+++ b/packages/core/src/lifecycle/request_flow.h
@@ -32,7 +32,7 @@
   void On(const CancelRequested& event);
   /// The tasks of a queued request were placed together.
   void OnPlaced(std::span<const Placement> placements);
-  void OnNews(const TaskNews& news);
+  void OnTaskUpdate(const TaskUpdate& update);
   /// The scheduler gave up on a queued request.
   void OnGivenUp(const RequestId& request);
   /// A task is stopped to make room.
@@ -60,7 +60,7 @@
   void StopTasks(ActiveRequest* entry);
   void Settled(ActiveRequest* entry);
   void AfterFailure(ActiveRequest* entry);
-  void OnUnclear(ActiveRequest* entry, const TaskNews& news);
+  void OnUncertain(ActiveRequest* entry, const TaskUpdate& update);
   void OnDeadline(const RequestId& request);
   void MoveWaiting();
   [[nodiscard]] bool MayRetry(const ActiveRequest& entry);
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -35,7 +35,7 @@
       this->ConfirmNeverStarted(tracked, event.incarnation);
       return;
     case TaskQueried::State::kEnded:
-      this->Settle(event.task, TaskNews::Kind::kEnded, event.ended);
+      this->Settle(event.task, TaskUpdate::Kind::kEnded, event.ended);
       return;
     case TaskQueried::State::kRunning:
       this->OnStillRunning(tracked);
@@ -70,9 +70,9 @@
       continue;
     }
     if (report.incarnation != tracked->plan.worker_incarnation) {
-      this->Settle(task, TaskNews::Kind::kLost);
+      this->Settle(task, TaskUpdate::Kind::kLost);
     } else if (--tracked->confirmations == 0) {
-      this->Settle(task, TaskNews::Kind::kNeverStarted);
+      this->Settle(task, TaskUpdate::Kind::kNeverStarted);
     }
   }
 }
@@ -102,7 +102,7 @@
   const bool same_run =
       answered_by != 0 && answered_by == plan.worker_incarnation;
   if (same_run) {
-    this->Settle(plan.task, TaskNews::Kind::kNeverStarted);
+    this->Settle(plan.task, TaskUpdate::Kind::kNeverStarted);
     return;
   }
   // A worker that has restarted answers "never started" about a task that it
@@ -115,7 +115,7 @@
                            owned &&
                            owned->incarnation == plan.worker_incarnation;
   if (!can_confirm) {
-    this->Settle(plan.task, TaskNews::Kind::kLost);
+    this->Settle(plan.task, TaskUpdate::Kind::kLost);
     return;
   }
   tracked->confirmations = kConfirmingRenewals;
@@ -137,8 +137,8 @@
     this->CheckAfter(tracked, kBackupPause);
     return;
   }
-  if (tracked->unclear && !tracked->plan.detached) {
-    this->Report(*tracked, TaskNews::Kind::kUnclear);
+  if (tracked->uncertain && !tracked->plan.detached) {
+    this->Report(*tracked, TaskUpdate::Kind::kUncertain);
   }
   tracked->pause = std::clamp(2 * tracked->pause, kFirstPause, kLongestPause);
   this->CheckAfter(tracked, tracked->pause);
@@ -146,12 +146,12 @@
 
 void TaskTracker::OnNotReachable(Tracked* tracked) {
   if (this->SurelyOver(*tracked)) {
-    this->Settle(tracked->plan.task, TaskNews::Kind::kLost, {},
+    this->Settle(tracked->plan.task, TaskUpdate::Kind::kLost, {},
                  Error::kWorkerLost);
     return;
   }
-  this->Report(*tracked, TaskNews::Kind::kUnclear);
-  this->news.back().unreachable = true;
+  this->Report(*tracked, TaskUpdate::Kind::kUncertain);
+  this->updates.back().unreachable = true;
   tracked->pause = std::clamp(2 * tracked->pause, kFirstPause, kLongestPause);
   this->CheckAfter(tracked, tracked->pause);
 }
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -40,7 +40,7 @@
   Tracked* tracked = this->Find(task);
   tracked->placed = placed;
   tracked->phase = Phase::kSent;
-  tracked->unclear = true;
+  tracked->uncertain = true;
   this->Ask(tracked);
 }
 
@@ -58,7 +58,7 @@
   // its way to the platform. Then there is no lease to send under, or a newer
   // one, under which the room was not counted. Such a task is placed again.
   if (!owned || owned->epoch != plan.epoch) {
-    this->Settle(task, TaskNews::Kind::kNeverStarted, {}, Error::kStaleEpoch);
+    this->Settle(task, TaskUpdate::Kind::kNeverStarted, {}, Error::kStaleEpoch);
     return;
   }
   StartTask start;
@@ -88,7 +88,7 @@
     return;
   }
   tracked->disowned = true;
-  this->Settle(task, TaskNews::Kind::kNeverStarted);
+  this->Settle(task, TaskUpdate::Kind::kNeverStarted);
 }
 
 void TaskTracker::Stop(const TaskId& task, bool checkpoint) {
@@ -97,7 +97,7 @@
     return;
   }
   if (tracked->phase == Phase::kPlanned) {
-    this->Settle(task, TaskNews::Kind::kNeverStarted, {}, Error::kCancelled);
+    this->Settle(task, TaskUpdate::Kind::kNeverStarted, {}, Error::kCancelled);
     return;
   }
   tracked->stop_wanted = true;
@@ -112,7 +112,7 @@
   }
   tracked->disowned = true;
   if (tracked->phase == Phase::kPlanned) {
-    this->Settle(task, TaskNews::Kind::kNeverStarted);
+    this->Settle(task, TaskUpdate::Kind::kNeverStarted);
   }
 }
 
@@ -157,7 +157,7 @@
 
 void TaskTracker::On(const TaskEnded& event) {
   this->parts->ownership.OnTraffic(this->parts->context.now, event.worker);
-  this->Settle(event.ended.task, TaskNews::Kind::kEnded, event.ended);
+  this->Settle(event.ended.task, TaskUpdate::Kind::kEnded, event.ended);
 }
 
 void TaskTracker::On(const TaskNotStarted& event) {
@@ -169,7 +169,7 @@
     this->parts->ownership.OnStartRefused(this->parts->context.now,
                                           event.worker);
   }
-  this->Settle(event.task, TaskNews::Kind::kNeverStarted, {}, event.reason);
+  this->Settle(event.task, TaskUpdate::Kind::kNeverStarted, {}, event.reason);
 }
 
 void TaskTracker::On(const TaskUncertain& event) {
@@ -177,7 +177,7 @@
   if (tracked == nullptr) {
     return;
   }
-  tracked->unclear = true;
+  tracked->uncertain = true;
   this->Ask(tracked);
 }
 
@@ -200,12 +200,12 @@
   this->parts->context.Record(
       TaskEvent(TimelineKind::kTaskStopped, ended.request, event.task,
                 tracked->plan.worker, tracked->plan.epoch));
-  this->Settle(event.task, TaskNews::Kind::kEnded, ended);
+  this->Settle(event.task, TaskUpdate::Kind::kEnded, ended);
 }
 
 void TaskTracker::OnReport(const WorkerReport& report) {
   for (const EndedTask& ended : report.ended) {
-    this->Settle(ended.task, TaskNews::Kind::kEnded, ended);
+    this->Settle(ended.task, TaskUpdate::Kind::kEnded, ended);
   }
   for (const RunningTask& running : report.running) {
     Tracked* tracked = this->Find(running.task);
@@ -225,9 +225,10 @@
       continue;
     }
     if (tracked->phase == Phase::kPlanned) {
-      this->Settle(task, TaskNews::Kind::kNeverStarted, {}, Error::kWorkerLost);
+      this->Settle(task, TaskUpdate::Kind::kNeverStarted, {},
+                   Error::kWorkerLost);
     } else if (tracked->plan.worker_incarnation != 0) {
-      this->Settle(task, TaskNews::Kind::kLost, {}, Error::kWorkerLost);
+      this->Settle(task, TaskUpdate::Kind::kLost, {}, Error::kWorkerLost);
     }
   }
 }
@@ -256,8 +257,8 @@
   }
 }
 
-std::vector<TaskNews> TaskTracker::TakeNews() {
-  return std::exchange(this->news, {});
+std::vector<TaskUpdate> TaskTracker::TakeUpdates() {
+  return std::exchange(this->updates, {});
 }
 
 void TaskTracker::CheckAfter(Tracked* tracked, Duration pause) {
@@ -270,14 +271,14 @@
     return;
   }
   tracked->phase = Phase::kRunning;
-  this->Report(*tracked, TaskNews::Kind::kStarted);
+  this->Report(*tracked, TaskUpdate::Kind::kStarted);
   if (tracked->plan.detached) {
     this->CheckAfter(tracked, kBackupPause);
   }
 }
 
-void TaskTracker::Report(const Tracked& tracked, TaskNews::Kind kind) {
-  TaskNews each;
+void TaskTracker::Report(const Tracked& tracked, TaskUpdate::Kind kind) {
+  TaskUpdate each;
   each.kind = kind;
   each.task = tracked.plan.task;
   each.request = tracked.plan.request;
@@ -285,10 +286,10 @@
   if (tracked.disowned) {
     each.request = RequestId();
   }
-  this->news.push_back(std::move(each));
+  this->updates.push_back(std::move(each));
 }
 
-void TaskTracker::Settle(const TaskId& task, TaskNews::Kind kind,
+void TaskTracker::Settle(const TaskId& task, TaskUpdate::Kind kind,
                          EndedTask ended, std::error_code reason) {
   const auto settled = this->tasks.extract(task);
   if (settled.empty()) {
@@ -297,15 +298,15 @@
   const TaskId& id = settled.key();
   const Tracked& tracked = settled.mapped();
   const TaskPlan& plan = tracked.plan;
-  if (kind == TaskNews::Kind::kEnded) {
+  if (kind == TaskUpdate::Kind::kEnded) {
     this->parts->context.Record(TaskEvent(
         TimelineKind::kTaskEnded, plan.request, id, plan.worker, plan.epoch));
   }
   this->Report(tracked, kind);
-  this->news.back().ended = std::move(ended);
-  this->news.back().reason = reason;
+  this->updates.back().ended = std::move(ended);
+  this->updates.back().reason = reason;
   if (tracked.placed) {
-    const bool ran = kind == TaskNews::Kind::kEnded;
+    const bool ran = kind == TaskUpdate::Kind::kEnded;
     this->parts->scheduler.TaskDone(this->parts->context.now,
                                     &this->parts->ledger, id, ran);
   } else {
--- a/packages/core/src/lifecycle/task_tracker.h
+++ b/packages/core/src/lifecycle/task_tracker.h
@@ -37,7 +37,7 @@
 };
 
 /// What became known of a task.
-struct TaskNews {
+struct TaskUpdate {
   enum class Kind {
     /// It runs.
     kStarted,
@@ -48,9 +48,9 @@
     kLost,
     /// Its answer is lost, and asking did not settle its fate; asked again
     /// later.
-    kUnclear,
+    kUncertain,
   };
-  Kind kind = Kind::kUnclear;
+  Kind kind = Kind::kUncertain;
   TaskId task;
   RequestId request;
   WorkerId worker;
@@ -102,7 +102,7 @@
   /// Asks about tasks that are due.
   void Tick();
   /// @return what became known since the last call, in order
-  [[nodiscard]] std::vector<TaskNews> TakeNews();
+  [[nodiscard]] std::vector<TaskUpdate> TakeUpdates();
   [[nodiscard]] Instant NextWakeup() const { return this->checks.Next(); }
   [[nodiscard]] bool Knows(const TaskId& task) const {
     return this->tasks.contains(task);
@@ -127,7 +127,7 @@
     bool placed = true;
     bool disowned = false;
     /// No answer will come by itself; only asking helps.
-    bool unclear = false;
+    bool uncertain = false;
     bool asking = false;
     bool stop_wanted = false;
     bool stop_sent = false;
@@ -154,8 +154,8 @@
   [[nodiscard]] bool SurelyOver(const Tracked& tracked);
   /// @return when its lease has lapsed, unless somebody else renews it
   [[nodiscard]] Instant LapseOf(const Tracked& tracked) const;
-  void Report(const Tracked& tracked, TaskNews::Kind kind);
-  void Settle(const TaskId& task, TaskNews::Kind kind, EndedTask ended = {},
+  void Report(const Tracked& tracked, TaskUpdate::Kind kind);
+  void Settle(const TaskId& task, TaskUpdate::Kind kind, EndedTask ended = {},
               std::error_code reason = {});
   void Remember(const TaskId& task);
   [[nodiscard]] std::vector<TaskId> TasksAt(const WorkerId& worker) const;
@@ -165,7 +165,7 @@
   std::map<WorkerId, std::set<TaskId>> by_worker;
   std::map<WorkerId, Instant> renewals;
   TimerQueue<TaskId> checks;
-  std::vector<TaskNews> news;
+  std::vector<TaskUpdate> updates;
   std::set<TaskId> recent;
   std::deque<TaskId> recent_order;
 };
