--- a/packages/core/src/lifecycle/adoption.cc
+++ b/packages/core/src/lifecycle/adoption.cc
@@ -12,25 +12,25 @@
 namespace {
 
 constexpr Duration kListInterval = std::chrono::seconds(5);
-constexpr Duration kSoon = std::chrono::milliseconds(500);
+constexpr Duration kReadDelay = std::chrono::milliseconds(500);
 /// Pause after somebody else was faster.
-constexpr Duration kBackOff = std::chrono::seconds(10);
+constexpr Duration kFencedDelay = std::chrono::seconds(10);
 
 /// How long a journal must be without a live holder before a process of some
 /// rank adopts it. The wait covers a heartbeat that is late; a wrong guess
 /// costs only a fence.
-struct Patience {
+struct AdoptionDelays {
   Duration preferred;
   /// Not the preferred adopter, which may be cut off from the platform itself.
   Duration other;
   /// Owns no worker, so that the work would be of no use to it.
   Duration without_workers;
 };
-constexpr Patience kAfterLoss = {std::chrono::seconds(3),
-                                 std::chrono::seconds(12),
-                                 std::chrono::seconds(20)};
-constexpr Patience kAfterHandOver = {Duration{0}, std::chrono::seconds(2),
-                                     std::chrono::seconds(10)};
+constexpr AdoptionDelays kAfterLoss = {std::chrono::seconds(3),
+                                       std::chrono::seconds(12),
+                                       std::chrono::seconds(20)};
+constexpr AdoptionDelays kAfterHandOver = {Duration{0}, std::chrono::seconds(2),
+                                           std::chrono::seconds(10)};
 
 bool HandedOver(const std::vector<JournalBatch>& batches) {
   return !batches.empty() && !batches.back().records.empty() &&
@@ -41,7 +41,7 @@
 }  // namespace
 
 void Adoption::ListSoon() {
-  const Instant soon = this->parts->context.now + kSoon;
+  const Instant soon = this->parts->context.now + kReadDelay;
   this->next_list = std::min(this->next_list, soon);
 }
 
@@ -72,14 +72,15 @@
 }
 
 Instant Adoption::DueAt(const JournalId& journal, const Orphan& orphan) const {
-  const Patience& patience = orphan.handed_over ? kAfterHandOver : kAfterLoss;
+  const AdoptionDelays& delays =
+      orphan.handed_over ? kAfterHandOver : kAfterLoss;
   if (this->parts->ledger.WorkerCount() == 0) {
-    return orphan.since + patience.without_workers;
+    return orphan.since + delays.without_workers;
   }
   const bool mine = this->parts->membership.PreferredAdopter(journal) ==
                     this->parts->context.Self();
   const bool preferred = mine || this->PreferredIsIdle(journal);
-  return orphan.since + (preferred ? patience.preferred : patience.other);
+  return orphan.since + (preferred ? delays.preferred : delays.other);
 }
 
 bool Adoption::PreferredIsIdle(const JournalId& journal) const {
@@ -116,7 +117,7 @@
     this->next_list = std::min(this->next_list, due);
     return;
   }
-  orphan.again = now + kSoon;
+  orphan.again = now + kReadDelay;
   this->parts->context.Emit(ReadJournal{journal});
 }
 
@@ -167,7 +168,7 @@
 void Adoption::OnFenced(const JournalId& journal) {
   this->waiting.erase(journal);
   const Instant now = this->parts->context.now;
-  this->orphans[journal] = Orphan{now, now + kBackOff, false, false};
+  this->orphans[journal] = Orphan{now, now + kFencedDelay, false, false};
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/deferred_acceptance.cc
+++ b/packages/core/src/lifecycle/deferred_acceptance.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Longest time until the caller learns that the work was not accepted.
-constexpr Duration kAcceptPatience = std::chrono::seconds(5);
+constexpr Duration kAcceptTimeout = std::chrono::seconds(5);
 constexpr std::int32_t kTooLargeStatus = 413;
 
 }  // namespace
@@ -55,7 +55,7 @@
   entry->phase = RequestPhase::kJournalling;
   this->parts->table.SetDeadline(
       entry->request.id,
-      std::min(entry->deadline, this->parts->context.now + kAcceptPatience));
+      std::min(entry->deadline, this->parts->context.now + kAcceptTimeout));
 }
 
 bool DeferredFlow::FitsJournal(ActiveRequest* entry) {
--- a/packages/core/src/lifecycle/deferred_ends.cc
+++ b/packages/core/src/lifecycle/deferred_ends.cc
@@ -11,13 +11,13 @@
 namespace {
 
 /// Pause after a failed attempt.
-constexpr Duration kRetryPause = std::chrono::milliseconds(500);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
 /// Attempts that were not started and are repeated without a pause.
-constexpr std::int32_t kQuickRetries = 2;
-constexpr Duration kLongestRetryPause = std::chrono::seconds(5);
+constexpr std::int32_t kImmediateRetries = 2;
+constexpr Duration kMaxRetryDelay = std::chrono::seconds(5);
 constexpr std::int32_t kBadGatewayStatus = 502;
 /// Workers that may be lost under one piece of work.
-constexpr std::int32_t kMostLosses = 5;
+constexpr std::int32_t kMaxLosses = 5;
 
 Answer UnknownEnd(std::string text) {
   Answer answer;
@@ -57,12 +57,12 @@
   // Each attempt costs a write at the platform, so a worker that refuses again
   // and again must not be tried at full speed.
   ++work->refusals;
-  if (work->refusals <= kQuickRetries) {
+  if (work->refusals <= kImmediateRetries) {
     this->Requeue(work);
     return;
   }
-  const Duration pause = kRetryPause * (work->refusals - kQuickRetries);
-  this->Park(work, std::min<Duration>(pause, kLongestRetryPause));
+  const Duration delay = kRetryDelay * (work->refusals - kImmediateRetries);
+  this->Park(work, std::min<Duration>(delay, kMaxRetryDelay));
 }
 
 void DeferredFlow::AfterFailure(DeferredWork* work, Verdict verdict) {
@@ -90,10 +90,10 @@
     return;
   }
   if (own_fault) {
-    this->Park(work, kRetryPause);
+    this->Park(work, kRetryDelay);
     return;
   }
-  if (verdict == Verdict::kLost && ++work->losses >= kMostLosses) {
+  if (verdict == Verdict::kLost && ++work->losses >= kMaxLosses) {
     this->End(work, DeferredState::kFailed,
               UnknownEnd("each worker that ran it was lost"));
     return;
--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -11,17 +11,17 @@
 
 /// Accepted work is never given up for lack of room; the scheduler still orders
 /// it by this moment.
-constexpr Duration kNeverGivenUp = std::chrono::hours(24 * 365 * 10);
+constexpr Duration kPlacementHorizon = std::chrono::hours(24 * 365 * 10);
 /// Attempt numbers that one holder of a journal uses.
 constexpr std::int32_t kAttemptsPerHolder = 1000;
 /// Longest time that a placement may wait for its *started* records while it
 /// keeps its room from other work.
-constexpr Duration kRecordPatience = std::chrono::seconds(1);
+constexpr Duration kRecordTimeout = std::chrono::seconds(1);
 /// Pause after a failed attempt.
-constexpr Duration kRetryPause = std::chrono::milliseconds(500);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
 /// Longest time that work waits for another worker than those it failed on.
-constexpr Duration kAvoidTime = std::chrono::seconds(3);
-constexpr Duration kParkPause = std::chrono::seconds(1);
+constexpr Duration kMaxAvoidTime = std::chrono::seconds(3);
+constexpr Duration kParkDelay = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -47,7 +47,7 @@
 void DeferredFlow::Enqueue(DeferredWork* work) {
   const Instant now = this->parts->context.now;
   if (!this->MayStart()) {
-    this->Park(work, kParkPause);
+    this->Park(work, kParkDelay);
     return;
   }
   const auto terms =
@@ -57,26 +57,26 @@
   queued.service = work->request.service;
   queued.team = work->request.team;
   queued.arrived = work->accepted;
-  queued.place_by =
-      work->accepted + kNeverGivenUp + (terms ? terms->max_wait : Duration{0});
+  queued.place_by = work->accepted + kPlacementHorizon +
+                    (terms ? terms->max_wait : Duration{0});
   queued.attempt = work->last_attempt + 1;
   queued.avoid = work->avoid;
   const Admission admission = this->parts->scheduler.Enqueue(
       now, this->parts->ledger, std::move(queued), true);
   if (admission.refusal) {
-    this->Park(work, kParkPause);
+    this->Park(work, kParkDelay);
     return;
   }
   ++work->last_attempt;
   work->phase = DeferredPhase::kQueued;
   if (!work->avoid.empty()) {
-    this->timers.Set(work->request.id, now + kAvoidTime);
+    this->timers.Set(work->request.id, now + kMaxAvoidTime);
   }
 }
 
-void DeferredFlow::Park(DeferredWork* work, Duration pause) {
+void DeferredFlow::Park(DeferredWork* work, Duration delay) {
   work->phase = DeferredPhase::kParked;
-  this->timers.Set(work->request.id, this->parts->context.now + pause);
+  this->timers.Set(work->request.id, this->parts->context.now + delay);
 }
 
 void DeferredFlow::OnPlaced(std::span<const Placement> placements) {
@@ -108,8 +108,7 @@
     record.worker_incarnation = plan.worker_incarnation;
     this->parts->journals.Append(work->journal, std::move(record));
   }
-  this->timers.Set(work->request.id,
-                   this->parts->context.now + kRecordPatience);
+  this->timers.Set(work->request.id, this->parts->context.now + kRecordTimeout);
 }
 
 void DeferredFlow::OnDurable(const JournalId& /*journal*/,
@@ -215,7 +214,7 @@
   if (work->phase == DeferredPhase::kRecording) {
     this->WithdrawRecording(work);
     this->timers.Clear(work->request.id);
-    this->Park(work, kRetryPause);
+    this->Park(work, kRetryDelay);
     return;
   }
   const auto terms =
@@ -231,7 +230,7 @@
 void DeferredFlow::OnGivenUp(const RequestId& request) {
   DeferredWork* work = this->Get(request);
   if (work != nullptr && work->phase == DeferredPhase::kQueued) {
-    this->Park(work, kParkPause);
+    this->Park(work, kParkDelay);
   }
 }
 
@@ -319,10 +318,10 @@
   for (auto& [request, work] : this->works) {
     if (work.phase == DeferredPhase::kQueued) {
       this->parts->scheduler.Cancel(request);
-      this->Park(&work, kParkPause);
+      this->Park(&work, kParkDelay);
     } else if (work.phase == DeferredPhase::kRecording) {
       this->WithdrawRecording(&work);
-      this->Park(&work, kParkPause);
+      this->Park(&work, kParkDelay);
     }
   }
 }
@@ -347,7 +346,7 @@
       // The platform is slow or away: the room is worth more to work that can
       // start now.
       this->WithdrawRecording(work);
-      this->Park(work, kParkPause);
+      this->Park(work, kParkDelay);
     } else if (work->phase == DeferredPhase::kParked) {
       this->Enqueue(work);
     } else if (work->phase == DeferredPhase::kQueued) {
--- a/packages/core/src/lifecycle/deferred_flow.h
+++ b/packages/core/src/lifecycle/deferred_flow.h
@@ -114,7 +114,7 @@
   [[nodiscard]] Admission CheckAdmission(const ActiveRequest& entry);
   [[nodiscard]] bool MayStart() const;
   void Enqueue(DeferredWork* work);
-  void Park(DeferredWork* work, Duration pause);
+  void Park(DeferredWork* work, Duration delay);
   void SendTasks(DeferredWork* work);
   void WithdrawRecording(DeferredWork* work);
   void StopTasks(DeferredWork* work, bool checkpoint);
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -15,12 +15,12 @@
 /// The peer gives up this much earlier, so that its answer arrives in time.
 constexpr Duration kForwardMargin = std::chrono::milliseconds(20);
 /// Pauses before a cancellation is said again; each is twice the one before.
-constexpr Duration kFirstCancelPause = std::chrono::milliseconds(200);
-constexpr Duration kLongestCancelPause = std::chrono::seconds(5);
+constexpr Duration kInitialCancelDelay = std::chrono::milliseconds(200);
+constexpr Duration kMaxCancelDelay = std::chrono::seconds(5);
 constexpr std::int32_t kAcceptedStatus = 202;
 constexpr std::int32_t kBadGatewayStatus = 502;
 /// Remembered peers that took deferred work on; bounds the memory.
-constexpr std::size_t kRememberedPeers = 20000;
+constexpr std::size_t kMaxRememberedPeers = 20000;
 
 /// Errors that another process would answer alike.
 bool Final(std::error_code error) {
@@ -129,10 +129,10 @@
   // caller has hung up. The peer's answer to the request ends the repeats, so
   // one of them arrives after the request did.
   this->parts->context.Emit(ForwardCancel{entry->peer, entry->request.id});
-  entry->cancel_pause = std::clamp(2 * entry->cancel_pause, kFirstCancelPause,
-                                   kLongestCancelPause);
+  entry->cancel_delay =
+      std::clamp(2 * entry->cancel_delay, kInitialCancelDelay, kMaxCancelDelay);
   this->cancels.Set(entry->request.id,
-                    this->parts->context.now + entry->cancel_pause);
+                    this->parts->context.now + entry->cancel_delay);
 }
 
 void Forwarding::Tick() {
@@ -265,7 +265,7 @@
     return;
   }
   this->taken_on_order.push_back(request);
-  if (this->taken_on_order.size() > kRememberedPeers) {
+  if (this->taken_on_order.size() > kMaxRememberedPeers) {
     this->taken_on.erase(this->taken_on_order.front());
     this->taken_on_order.pop_front();
   }
--- a/packages/core/src/lifecycle/journals.cc
+++ b/packages/core/src/lifecycle/journals.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// An append that waits this long shows that the platform is away.
-constexpr Duration kHealthyWait = std::chrono::seconds(2);
+constexpr Duration kMaxHealthyWait = std::chrono::seconds(2);
 /// Batches after which a journal is compacted.
 constexpr std::uint64_t kCompactionInterval = 256;
 /// An adopted journal is kept this long, since its fence must outlast every
@@ -82,7 +82,7 @@
   const OpenJournal& journal = this->open.at(this->own);
   const Instant now = this->parts->context.now;
   return this->parts->context.platform_reachable && journal.overflow.empty() &&
-         journal.writer.OldestPending(now) < kHealthyWait;
+         journal.writer.OldestPending(now) < kMaxHealthyWait;
 }
 
 bool Journals::Write(OpenJournal* journal, const JournalRecord& record) {
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -14,18 +14,18 @@
 constexpr std::int32_t kUnprocessableStatus = 422;
 constexpr std::int32_t kAcceptedStatus = 202;
 constexpr std::int32_t kBadGatewayStatus = 502;
-constexpr Duration kRepeatPause = std::chrono::seconds(1);
+constexpr Duration kRepeatDelay = std::chrono::seconds(1);
 /// An order to drop a claim has no answer, and the claim it follows may still
 /// be on its way, so it is sent several times.
-constexpr std::int32_t kDropsOfAClaim = 4;
+constexpr std::int32_t kDropRepeats = 4;
 /// Bounds the memory in a long outage; repeats of what is beyond it are told
 /// that the key is in use.
-constexpr std::size_t kMostAbandoned = 4096;
+constexpr std::size_t kMaxAbandoned = 4096;
 constexpr Duration kDropInterval = std::chrono::seconds(5);
 constexpr Duration kSweepInterval = std::chrono::minutes(10);
 /// Far longer than any caller waits, so that no request is in progress any more
 /// when its claim goes.
-constexpr Duration kShortestRetention = std::chrono::hours(1);
+constexpr Duration kMinRetention = std::chrono::hours(1);
 
 }  // namespace
 
@@ -87,7 +87,7 @@
   answer.status = kConflictStatus;
   answer.error = Error::kKeyInProgress;
   answer.detail = "request " + claim.request.Text() + " holds the key";
-  answer.retry_after = kRepeatPause;
+  answer.retry_after = kRepeatDelay;
   answers.Finish(entry, std::move(answer));
 }
 
@@ -159,12 +159,12 @@
 }
 
 void KeyClaims::Abandon(const Request& request) {
-  if (this->abandoned.size() >= kMostAbandoned) {
+  if (this->abandoned.size() >= kMaxAbandoned) {
     return;
   }
   this->abandoned[request.id] =
       Claim{request.team, request.idempotency_key, BodyHash(View(request.body)),
-            kDropsOfAClaim};
+            kDropRepeats};
   this->drops.Set(request.id, this->parts->context.now + kDropInterval);
 }
 
@@ -202,8 +202,7 @@
     return;
   }
   SweepClaims sweep;
-  sweep.retention =
-      std::max(this->parts->LongestRetention(), kShortestRetention);
+  sweep.retention = std::max(this->parts->LongestRetention(), kMinRetention);
   this->parts->context.Emit(sweep);
 }
 
--- a/packages/core/src/lifecycle/orphan_gangs.cc
+++ b/packages/core/src/lifecycle/orphan_gangs.cc
@@ -9,10 +9,10 @@
 namespace {
 
 /// A stop order may be lost.
-constexpr Duration kStopAgain = std::chrono::seconds(2);
+constexpr Duration kStopRetryInterval = std::chrono::seconds(2);
 /// First and longest pause until a peer that follows a gang is asked again.
-constexpr Duration kFirstPause = std::chrono::seconds(2);
-constexpr Duration kLongestPause = std::chrono::seconds(30);
+constexpr Duration kInitialPollDelay = std::chrono::seconds(2);
+constexpr Duration kMaxPollDelay = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -68,9 +68,9 @@
     // only the process that had forwarded it, or it dies or loses the workers,
     // and gives up at the caller's timeout. A part of the gang would run on and
     // hold its worker until its time limit, so the peers are asked again.
-    Duration& pause = this->pauses[request];
-    pause = std::clamp(2 * pause, kFirstPause, kLongestPause);
-    this->followed.Set(request, this->parts->context.now + pause);
+    Duration& delay = this->poll_delays[request];
+    delay = std::clamp(2 * delay, kInitialPollDelay, kMaxPollDelay);
+    this->followed.Set(request, this->parts->context.now + delay);
     return true;
   }
   this->AskNext(request);
@@ -85,7 +85,7 @@
       continue;
     }
     this->parts->workers.StopOrphansOf(request);
-    this->retries.Set(request, now + kStopAgain);
+    this->retries.Set(request, now + kStopRetryInterval);
   }
   for (const RequestId& request : this->followed.TakeDue(now)) {
     if (this->parts->workers.RunsOrphanOf(request)) {
@@ -98,7 +98,7 @@
 
 void OrphanGangs::Forget(const RequestId& request) {
   this->asking.erase(request);
-  this->pauses.erase(request);
+  this->poll_delays.erase(request);
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/orphan_gangs.h
+++ b/packages/core/src/lifecycle/orphan_gangs.h
@@ -47,7 +47,7 @@
   /// When a gang that a peer says it follows is asked about again, and the
   /// pause until then.
   TimerQueue<RequestId> followed;
-  std::map<RequestId, Duration> pauses;
+  std::map<RequestId, Duration> poll_delays;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -18,10 +18,10 @@
 /// Remainders that tell the runs of one process apart, and all remainders.
 constexpr Epoch kRunsPerProcess = 4096;
 constexpr Epoch kEpochStride = 256 * kRunsPerProcess;
-constexpr Duration kHousekeepingInterval = std::chrono::seconds(1);
+constexpr Duration kMaintenanceInterval = std::chrono::seconds(1);
 /// Deferred work of a process that has owned no worker for so long is handed to
 /// a peer that does.
-constexpr Duration kStrandedPatience = std::chrono::seconds(3);
+constexpr Duration kStrandedTimeout = std::chrono::seconds(3);
 
 /// @return how many processes of the cell have a lower name
 std::int32_t NumberOf(const CoreOptions& options) {
@@ -85,7 +85,7 @@
 void Parts::Boot() {
   this->context.Record(
       TextEvent(TimelineKind::kProcessStarted, this->context.Self().Text()));
-  this->next_housekeeping = this->context.now + kHousekeepingInterval;
+  this->next_maintenance = this->context.now + kMaintenanceInterval;
   this->journals.Boot();
   this->workers.Boot();
 }
@@ -174,10 +174,10 @@
 }
 
 void Parts::Housekeep() {
-  if (this->context.now < this->next_housekeeping) {
+  if (this->context.now < this->next_maintenance) {
     return;
   }
-  this->next_housekeeping = this->context.now + kHousekeepingInterval;
+  this->next_maintenance = this->context.now + kMaintenanceInterval;
   if (this->context.configuration.version > 0) {
     (void)this->store.Expire(this->context.now, this->LongestRetention());
   }
@@ -205,7 +205,7 @@
                 this->orphan_gangs.NextWakeup(), this->tasks.NextWakeup(),
                 this->journals.NextWakeup(), this->adoption.NextWakeup(),
                 this->configuration.NextWakeup(), this->shutdown.NextWakeup(),
-                this->placing.NextWakeup(), this->next_housekeeping});
+                this->placing.NextWakeup(), this->next_maintenance});
   return next;
 }
 
@@ -245,7 +245,7 @@
     return;
   }
   this->stranded_since = std::min(this->stranded_since, now);
-  if (now - this->stranded_since < kStrandedPatience) {
+  if (now - this->stranded_since < kStrandedTimeout) {
     return;
   }
   for (const JournalId& journal : this->journals.Names()) {
--- a/packages/core/src/lifecycle/parts.h
+++ b/packages/core/src/lifecycle/parts.h
@@ -120,7 +120,7 @@
   std::int32_t process_number = 0;
   std::uint64_t last_query = 0;
   AnnouncedState announced_state;
-  Instant next_housekeeping;
+  Instant next_maintenance;
   Instant stranded_since = Instant::max();
 };
 
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -11,7 +11,7 @@
 
 /// A cancellation that is not durable by then is answered with the state so
 /// far.
-constexpr Duration kCancelPatience = std::chrono::seconds(5);
+constexpr Duration kCancelTimeout = std::chrono::seconds(5);
 /// Peers that are asked about one unknown request.
 constexpr std::size_t kMaxPeersAsked = 8;
 
@@ -48,7 +48,7 @@
   if (event.cancel &&
       this->parts->deferred.Cancel(event.request, event.query)) {
     this->cancelling[event.query] = event.request;
-    this->limits.Set(event.query, this->parts->context.now + kCancelPatience);
+    this->limits.Set(event.query, this->parts->context.now + kCancelTimeout);
     return true;
   }
   ActiveRequest* entry = this->parts->table.Find(event.request);
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -9,10 +9,10 @@
 namespace {
 
 /// A queued request may move to a peer that shows room after this wait.
-constexpr Duration kMoveAfter = std::chrono::milliseconds(200);
-constexpr Duration kMoveInterval = std::chrono::milliseconds(100);
+constexpr Duration kForwardAfter = std::chrono::milliseconds(200);
+constexpr Duration kForwardRoundInterval = std::chrono::milliseconds(100);
 /// Most requests looked at in one round of moves; bounds its time.
-constexpr std::size_t kMovesPerRound = 32;
+constexpr std::size_t kForwardsPerRound = 32;
 /// Answers of the worker that arrive this late still count.
 constexpr Duration kAnswerGrace = std::chrono::milliseconds(100);
 
@@ -106,7 +106,7 @@
   this->parts->context.Record(RequestEvent(TimelineKind::kRequestQueued, id));
   this->parts->table.queued.push_back(id);
   this->next_move =
-      std::min(this->next_move, this->parts->context.now + kMoveAfter);
+      std::min(this->next_move, this->parts->context.now + kForwardAfter);
 }
 
 bool RequestFlow::ForwardUnqueued(ActiveRequest* entry,
@@ -275,14 +275,14 @@
   std::deque<RequestId>& queued = this->parts->table.queued;
   std::size_t looked = 0;
   std::size_t left = queued.size();
-  for (; left > 0 && looked < kMovesPerRound; --left) {
+  for (; left > 0 && looked < kForwardsPerRound; --left) {
     const RequestId id = queued.front();
     ActiveRequest* entry = this->parts->table.Find(id);
     if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
       queued.pop_front();
       continue;
     }
-    if (now - entry->queued_at < kMoveAfter) {
+    if (now - entry->queued_at < kForwardAfter) {
       break;
     }
     queued.pop_front();
@@ -294,7 +294,8 @@
       queued.push_back(id);
     }
   }
-  this->next_move = queued.empty() ? Instant::max() : now + kMoveInterval;
+  this->next_move =
+      queued.empty() ? Instant::max() : now + kForwardRoundInterval;
 }
 
 Instant RequestFlow::NextWakeup() const {
--- a/packages/core/src/lifecycle/request_table.h
+++ b/packages/core/src/lifecycle/request_table.h
@@ -61,7 +61,7 @@
   bool claimed = false;
   bool caller_gone = false;
   /// Time between the last two times that the peer was told so.
-  Duration cancel_pause{0};
+  Duration cancel_delay{0};
   /// Questions of peers that wait for its tasks to be stopped.
   std::vector<std::uint64_t> recalls;
   /// Upstream's last answer, a failure.
--- a/packages/core/src/lifecycle/shutdown_flow.cc
+++ b/packages/core/src/lifecycle/shutdown_flow.cc
@@ -7,9 +7,9 @@
 
 /// Longest wait for the platform to take the *handed over* records. Without
 /// them a peer adopts the journals after the orphan time.
-constexpr Duration kHandOverPatience = std::chrono::seconds(3);
+constexpr Duration kHandOverTimeout = std::chrono::seconds(3);
 /// Longest wait for workers to answer a release. Without it their leases lapse.
-constexpr Duration kReleasePatience = std::chrono::seconds(3);
+constexpr Duration kReleaseTimeout = std::chrono::seconds(3);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -60,7 +60,7 @@
 
 void ShutdownFlow::HandOver() {
   this->step = Step::kHandingOver;
-  this->step_limit = this->parts->context.now + kHandOverPatience;
+  this->step_limit = this->parts->context.now + kHandOverTimeout;
   // Work whose tasks run goes on at the workers. The end of a task that is
   // learnt after this record would be lost for the adopter, so nothing of the
   // journal is followed any more.
@@ -81,7 +81,7 @@
 
 void ShutdownFlow::Release() {
   this->step = Step::kReleasing;
-  this->step_limit = this->parts->context.now + kReleasePatience;
+  this->step_limit = this->parts->context.now + kReleaseTimeout;
   this->parts->workers.ReleaseAll();
 }
 
--- a/packages/core/src/lifecycle/task_pauses.h
+++ b/packages/core/src/lifecycle/task_pauses.h
@@ -7,14 +7,14 @@
 namespace mustardproxy::detail {
 
 /// First pause before a task whose answer was lost is asked about again.
-inline constexpr Duration kFirstPause = std::chrono::milliseconds(100);
+inline constexpr Duration kInitialPollDelay = std::chrono::milliseconds(100);
 /// Pause between questions about a detached task whose end should come with a
 /// renewal.
-inline constexpr Duration kBackupPause = std::chrono::seconds(10);
+inline constexpr Duration kDetachedPollInterval = std::chrono::seconds(10);
 /// Pause until a stop order that got no answer is followed up.
-inline constexpr Duration kStopPatience = std::chrono::seconds(1);
+inline constexpr Duration kStopTimeout = std::chrono::seconds(1);
 /// Time after a start's timeout in which its result is surely reported.
-inline constexpr Duration kReportPatience = std::chrono::seconds(5);
+inline constexpr Duration kReportTimeout = std::chrono::seconds(5);
 
 }  // namespace mustardproxy::detail
 
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration kLongestPause = std::chrono::seconds(1);
+constexpr Duration kMaxPollDelay = std::chrono::seconds(1);
 /// Covers the time a renewal travels and the drift between two clocks over one
 /// task lease.
 constexpr Duration kLeaseMargin = std::chrono::seconds(1);
@@ -83,7 +83,7 @@
   }
   const std::string address =
       this->parts->workers.AddressOf(tracked->plan.worker);
-  this->CheckAfter(tracked, kReportPatience);
+  this->CheckAfter(tracked, kReportTimeout);
   if (address.empty()) {
     this->OnNotReachable(tracked);
     return;
@@ -119,7 +119,7 @@
     return;
   }
   tracked->confirmations = kConfirmingRenewals;
-  this->CheckAfter(tracked, kStopPatience);
+  this->CheckAfter(tracked, kStopTimeout);
   for (std::int32_t i = 0; i < kConfirmingRenewals; ++i) {
     this->parts->workers.RenewNow(plan.worker, *owned);
   }
@@ -134,14 +134,15 @@
   const bool owned =
       this->parts->ownership.Held(tracked->plan.worker).has_value();
   if (tracked->plan.detached && owned) {
-    this->CheckAfter(tracked, kBackupPause);
+    this->CheckAfter(tracked, kDetachedPollInterval);
     return;
   }
   if (tracked->uncertain && !tracked->plan.detached) {
     this->Report(*tracked, TaskUpdate::Kind::kUncertain);
   }
-  tracked->pause = std::clamp(2 * tracked->pause, kFirstPause, kLongestPause);
-  this->CheckAfter(tracked, tracked->pause);
+  tracked->delay =
+      std::clamp(2 * tracked->delay, kInitialPollDelay, kMaxPollDelay);
+  this->CheckAfter(tracked, tracked->delay);
 }
 
 void TaskTracker::OnNotReachable(Tracked* tracked) {
@@ -152,8 +153,9 @@
   }
   this->Report(*tracked, TaskUpdate::Kind::kUncertain);
   this->updates.back().unreachable = true;
-  tracked->pause = std::clamp(2 * tracked->pause, kFirstPause, kLongestPause);
-  this->CheckAfter(tracked, tracked->pause);
+  tracked->delay =
+      std::clamp(2 * tracked->delay, kInitialPollDelay, kMaxPollDelay);
+  this->CheckAfter(tracked, tracked->delay);
 }
 
 bool TaskTracker::SurelyOver(const Tracked& tracked) {
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -79,7 +79,7 @@
   this->parts->ownership.OnStartSent(now, plan.worker);
   tracked->phase = Phase::kSent;
   tracked->since = now;
-  this->CheckAfter(tracked, timeout + kReportPatience);
+  this->CheckAfter(tracked, timeout + kReportTimeout);
 }
 
 void TaskTracker::Withdraw(const TaskId& task) {
@@ -119,7 +119,7 @@
 void TaskTracker::SendStop(Tracked* tracked) {
   const std::optional<OwnedWorker> owned =
       this->parts->ownership.Held(tracked->plan.worker);
-  this->CheckAfter(tracked, kStopPatience);
+  this->CheckAfter(tracked, kStopTimeout);
   if (!owned) {
     this->StopAtOwner(*tracked);
     return;
@@ -238,7 +238,7 @@
     Tracked* tracked = this->Find(task);
     // Its end will not come with a renewal any more.
     if (tracked->phase == Phase::kRunning && tracked->plan.detached) {
-      this->CheckAfter(tracked, kFirstPause);
+      this->CheckAfter(tracked, kInitialPollDelay);
     }
   }
 }
@@ -261,8 +261,8 @@
   return std::exchange(this->updates, {});
 }
 
-void TaskTracker::CheckAfter(Tracked* tracked, Duration pause) {
-  this->checks.Set(tracked->plan.task, this->parts->context.now + pause);
+void TaskTracker::CheckAfter(Tracked* tracked, Duration delay) {
+  this->checks.Set(tracked->plan.task, this->parts->context.now + delay);
 }
 
 void TaskTracker::OnReportedRunning(Tracked* tracked) {
@@ -273,7 +273,7 @@
   tracked->phase = Phase::kRunning;
   this->Report(*tracked, TaskUpdate::Kind::kStarted);
   if (tracked->plan.detached) {
-    this->CheckAfter(tracked, kBackupPause);
+    this->CheckAfter(tracked, kDetachedPollInterval);
   }
 }
 
--- a/packages/core/src/lifecycle/task_tracker.h
+++ b/packages/core/src/lifecycle/task_tracker.h
@@ -135,12 +135,12 @@
     /// Renewals still to be seen before "never started" counts.
     std::int32_t confirmations = 0;
     Instant since;
-    Duration pause{0};
+    Duration delay{0};
   };
 
   Tracked* Find(const TaskId& task);
   void Ask(Tracked* tracked);
-  void CheckAfter(Tracked* tracked, Duration pause);
+  void CheckAfter(Tracked* tracked, Duration delay);
   void SendStop(Tracked* tracked);
   void StopAtOwner(const Tracked& tracked);
   void ConfirmNeverStarted(Tracked* tracked, Incarnation answered_by);
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -11,7 +11,7 @@
 
 /// Idle time after which a worker that gets only a share of its work is tried
 /// with all of it.
-constexpr Duration kIdleProbe = std::chrono::seconds(10);
+constexpr Duration kIdleProbeDelay = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -305,7 +305,7 @@
   for (auto& [worker, idle_since] : this->capped) {
     if (!this->parts->tasks.IdleAt(worker)) {
       idle_since = now;
-    } else if (now - idle_since >= kIdleProbe) {
+    } else if (now - idle_since >= kIdleProbeDelay) {
       this->parts->ledger.SetPlaceable(worker, true, 1.0);
       idle_since = now;
     }
