--- a/packages/core/src/core.cc
+++ b/packages/core/src/core.cc
@@ -73,7 +73,7 @@
         detail::PeerEvent(TimelineKind::kPeerJoined, event.digest.process));
   }
   if (event.digest.stopping) {
-    parts->adoption.ListSoon();
+    parts->adoption.ScheduleList();
   }
 }
 void Dispatch(Parts* parts, const PeerUnreachable& event) {
@@ -119,7 +119,7 @@
   if (event.reachable) {
     parts->claims.OnPlatformBack();
     parts->deferred.QueueParked();
-    parts->adoption.ListSoon();
+    parts->adoption.ScheduleList();
   } else {
     parts->deferred.ParkAll();
   }
--- a/packages/core/src/lifecycle/adoption.cc
+++ b/packages/core/src/lifecycle/adoption.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-void Adoption::ListSoon() {
+void Adoption::ScheduleList() {
   const Instant soon = this->parts->context.now + kReadDelay;
   this->next_list = std::min(this->next_list, soon);
 }
@@ -75,15 +75,15 @@
   const AdoptionDelays& delays =
       orphan.handed_over ? kAfterHandOver : kAfterLoss;
   if (this->parts->ledger.WorkerCount() == 0) {
-    return orphan.since + delays.without_workers;
+    return orphan.free_since + delays.without_workers;
   }
   const bool mine = this->parts->membership.PreferredAdopter(journal) ==
                     this->parts->context.Self();
-  const bool preferred = mine || this->PreferredIsIdle(journal);
-  return orphan.since + (preferred ? delays.preferred : delays.other);
+  const bool preferred = mine || this->PreferredHasNoWorkers(journal);
+  return orphan.free_since + (preferred ? delays.preferred : delays.other);
 }
 
-bool Adoption::PreferredIsIdle(const JournalId& journal) const {
+bool Adoption::PreferredHasNoWorkers(const JournalId& journal) const {
   const auto digest = this->parts->membership.LastDigest(
       this->parts->membership.PreferredAdopter(journal));
   return digest && digest->owned_workers == 0;
@@ -101,14 +101,14 @@
       continue;
     }
     this->orphans.emplace(journal, Orphan{now, now, false, false});
-    this->Consider(journal);
+    this->ReadIfDue(journal);
   }
 }
 
-void Adoption::Consider(const JournalId& journal) {
+void Adoption::ReadIfDue(const JournalId& journal) {
   const Instant now = this->parts->context.now;
   Orphan& orphan = this->orphans.at(journal);
-  if (now < orphan.again || this->waiting.contains(journal)) {
+  if (now < orphan.next_read || this->unfenced_batches.contains(journal)) {
     return;
   }
   // The first look tells whether it was handed over.
@@ -117,14 +117,14 @@
     this->next_list = std::min(this->next_list, due);
     return;
   }
-  orphan.again = now + kReadDelay;
+  orphan.next_read = now + kReadDelay;
   this->parts->context.Emit(ReadJournal{journal});
 }
 
 void Adoption::On(const JournalRead& event) {
   const auto found = this->orphans.find(event.journal);
   if (found == this->orphans.end() || !this->IsFree(event.journal) ||
-      event.batches.empty() || this->waiting.contains(event.journal)) {
+      event.batches.empty() || this->unfenced_batches.contains(event.journal)) {
     return;
   }
   Orphan& orphan = found->second;
@@ -136,7 +136,7 @@
     return;
   }
   this->orphans.erase(found);
-  this->waiting[event.journal] = event.batches;
+  this->unfenced_batches[event.journal] = event.batches;
   this->parts->journals.Adopt(event.journal, event.batches.back().sequence + 1);
 }
 
@@ -145,19 +145,19 @@
   const CoreContext& context = this->parts->context;
   const bool ours = record.by == context.Self() &&
                     record.incarnation == context.options.incarnation;
-  const auto found = this->waiting.find(journal);
-  if (!ours || found == this->waiting.end()) {
+  const auto found = this->unfenced_batches.find(journal);
+  if (!ours || found == this->unfenced_batches.end()) {
     return;
   }
   const std::vector<DeferredEntry> entries =
       this->parts->store.Recover(context.now, journal, found->second);
-  this->waiting.erase(found);
+  this->unfenced_batches.erase(found);
   this->parts->context.Record(
       TextEvent(TimelineKind::kJournalAdopted, journal.Text()));
   // Failure: this process lost its workers while the record was on its way, and
   // has handed the journal on. Work taken up now could never be ended, and
   // would show as running to everybody who asks. The next adopter reads it.
-  if (this->parts->journals.Closing(journal)) {
+  if (this->parts->journals.IsClosing(journal)) {
     return;
   }
   for (const DeferredEntry& entry : entries) {
@@ -166,7 +166,7 @@
 }
 
 void Adoption::OnFenced(const JournalId& journal) {
-  this->waiting.erase(journal);
+  this->unfenced_batches.erase(journal);
   const Instant now = this->parts->context.now;
   this->orphans[journal] = Orphan{now, now + kFencedDelay, false, false};
 }
--- a/packages/core/src/lifecycle/adoption.h
+++ b/packages/core/src/lifecycle/adoption.h
@@ -30,15 +30,15 @@
   /// The journal belongs to another process now.
   void OnFenced(const JournalId& journal);
   /// A peer is gone or is leaving: its journals may be free.
-  void ListSoon();
+  void ScheduleList();
   void Tick();
   [[nodiscard]] Instant NextWakeup() const { return this->next_list; }
 
  private:
   struct Orphan {
-    Instant since;
+    Instant free_since;
     /// Not looked at again before this moment.
-    Instant again;
+    Instant next_read;
     /// It was read since it was found free.
     bool read = false;
     bool handed_over = false;
@@ -49,14 +49,14 @@
   [[nodiscard]] Instant DueAt(const JournalId& journal,
                               const Orphan& orphan) const;
   /// @return true if the preferred adopter owns no worker at present
-  [[nodiscard]] bool PreferredIsIdle(const JournalId& journal) const;
-  void Consider(const JournalId& journal);
+  [[nodiscard]] bool PreferredHasNoWorkers(const JournalId& journal) const;
+  void ReadIfDue(const JournalId& journal);
 
   Parts* parts;
   Instant next_list;
   std::map<JournalId, Orphan> orphans;
   /// What was read of journals whose fence is not durable yet.
-  std::map<JournalId, std::vector<JournalBatch>> waiting;
+  std::map<JournalId, std::vector<JournalBatch>> unfenced_batches;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/attempt.cc
+++ b/packages/core/src/lifecycle/attempt.cc
@@ -30,7 +30,7 @@
   });
 }
 
-bool Attempt::Broken() const {
+bool Attempt::CanNotComplete() const {
   return std::ranges::any_of(this->slots, [](const AttemptSlot& slot) {
     return slot.state == SlotState::kNeverStarted ||
            slot.state == SlotState::kLost ||
@@ -39,9 +39,9 @@
   });
 }
 
-Verdict Attempt::Judge() const {
+AttemptResult Attempt::Evaluate() const {
   if (!this->MayHaveRun()) {
-    return Verdict::kNeverStarted;
+    return AttemptResult::kNeverStarted;
   }
   const auto any = [this](auto condition) {
     return std::ranges::any_of(this->slots, condition);
@@ -49,7 +49,7 @@
   if (any([](const AttemptSlot& slot) {
         return slot.state == SlotState::kLost;
       })) {
-    return Verdict::kLost;
+    return AttemptResult::kLost;
   }
   // With a task that was stopped there is no whole answer, whatever the others
   // reported.
@@ -59,12 +59,12 @@
                EndedWith(slot, TaskEnd::kFailed);
       });
   if (!whole) {
-    return Verdict::kStopped;
+    return AttemptResult::kStopped;
   }
   const bool failed = any([](const AttemptSlot& slot) {
     return EndedWith(slot, TaskEnd::kFailed);
   });
-  return failed ? Verdict::kFailed : Verdict::kFinished;
+  return failed ? AttemptResult::kFailed : AttemptResult::kFinished;
 }
 
 bool Attempt::LeaseLost() const {
--- a/packages/core/src/lifecycle/attempt.h
+++ b/packages/core/src/lifecycle/attempt.h
@@ -34,7 +34,7 @@
 };
 
 /// What an attempt whose tasks are all settled amounts to.
-enum class Verdict {
+enum class AttemptResult {
   /// No task of it ran.
   kNeverStarted,
   kFinished,
@@ -67,9 +67,9 @@
   /// @return true if it can't come to a whole end any more, since a task did
   /// not
   ///   start, was lost or was stopped
-  [[nodiscard]] bool Broken() const;
+  [[nodiscard]] bool CanNotComplete() const;
   /// @pre `Settled()`
-  [[nodiscard]] Verdict Judge() const;
+  [[nodiscard]] AttemptResult Evaluate() const;
   /// The worst status of all tasks with the body of the first one.
   [[nodiscard]] Answer MergedAnswer() const;
 };
--- a/packages/core/src/lifecycle/deferred_acceptance.cc
+++ b/packages/core/src/lifecycle/deferred_acceptance.cc
@@ -82,7 +82,7 @@
 void DeferredFlow::OnAcceptTimeout(ActiveRequest* entry) {
   // The append was sent, and may take effect though no answer came: then this
   // process or an adopter runs the work. So "not run" would be a lie.
-  this->parts->answers.Unknown(
+  this->parts->answers.AnswerUnknown(
       entry, Error::kJournalUnavailable,
       "it is not known whether the work was recorded; ask for its state");
 }
@@ -97,7 +97,7 @@
   // Failure: the journal was handed over while this record was on its way. Its
   // adopter runs the work. Here it could never be started, for want of a
   // journal, and would show as queued to everybody who asks.
-  if (this->parts->journals.Closing(journal)) {
+  if (this->parts->journals.IsClosing(journal)) {
     return;
   }
   DeferredWork work;
--- a/packages/core/src/lifecycle/deferred_ends.cc
+++ b/packages/core/src/lifecycle/deferred_ends.cc
@@ -36,8 +36,8 @@
     this->parts->placing.Avoid(&work->avoid, attempt.FailedWorkers());
   }
   work->may_have_run = work->may_have_run || attempt.MayHaveRun();
-  const Verdict verdict = attempt.Judge();
-  if (verdict == Verdict::kFinished) {
+  const AttemptResult result = attempt.Evaluate();
+  if (result == AttemptResult::kFinished) {
     this->End(work, DeferredState::kFinished, attempt.MergedAnswer());
     return;
   }
@@ -45,15 +45,15 @@
     this->EndCancelled(work);
     return;
   }
-  if (verdict == Verdict::kNeverStarted) {
-    this->AfterRefusal(work);
+  if (result == AttemptResult::kNeverStarted) {
+    this->HandleRefusal(work);
     return;
   }
   work->refusals = 0;
-  this->AfterFailure(work, verdict);
+  this->HandleFailure(work, result);
 }
 
-void DeferredFlow::AfterRefusal(DeferredWork* work) {
+void DeferredFlow::HandleRefusal(DeferredWork* work) {
   // Each attempt costs a write at the platform, so a worker that refuses again
   // and again must not be tried at full speed.
   ++work->refusals;
@@ -65,11 +65,11 @@
   this->Park(work, std::min<Duration>(delay, kMaxRetryDelay));
 }
 
-void DeferredFlow::AfterFailure(DeferredWork* work, Verdict verdict) {
+void DeferredFlow::HandleFailure(DeferredWork* work, AttemptResult result) {
   const auto terms =
       TermsOf(this->parts->context.configuration, work->request.service);
   const bool idempotent = terms && terms->idempotent;
-  const bool failed = verdict == Verdict::kFailed;
+  const bool failed = result == AttemptResult::kFailed;
   if (!idempotent) {
     this->End(work, failed ? DeferredState::kFailed : DeferredState::kUnknown,
               failed ? work->attempt.MergedAnswer()
@@ -77,7 +77,7 @@
     return;
   }
   const bool own_fault =
-      failed || (verdict == Verdict::kStopped && !work->attempt.stopping);
+      failed || (result == AttemptResult::kStopped && !work->attempt.stopping);
   if (own_fault) {
     ++work->failures;
   }
@@ -93,7 +93,7 @@
     this->Park(work, kRetryDelay);
     return;
   }
-  if (verdict == Verdict::kLost && ++work->losses >= kMaxLosses) {
+  if (result == AttemptResult::kLost && ++work->losses >= kMaxLosses) {
     this->End(work, DeferredState::kFailed,
               UnknownEnd("each worker that ran it was lost"));
     return;
@@ -118,7 +118,7 @@
   record.state = state;
   record.answer = std::move(answer);
   this->parts->journals.Append(work->journal,
-                               this->parts->Bounded(std::move(record)));
+                               this->parts->TruncateToFit(std::move(record)));
 }
 
 void DeferredFlow::EndCancelled(DeferredWork* work) {
--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -82,17 +82,17 @@
 void DeferredFlow::OnPlaced(std::span<const Placement> placements) {
   DeferredWork* work = this->Get(placements.front().request);
   if (work == nullptr || work->phase != DeferredPhase::kQueued) {
-    this->parts->placing.Unplace(placements);
+    this->parts->placing.ReleasePlacements(placements);
     return;
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, work->request.service);
-  this->parts->placing.SampleWait(terms ? terms->profile : ProfileId(),
+  this->parts->placing.RecordWait(terms ? terms->profile : ProfileId(),
                                   work->accepted);
   work->phase = DeferredPhase::kRecording;
   work->attempt = Attempt{};
   work->attempt.number = work->last_attempt;
-  work->records_left = placements.size();
+  work->pending_records = placements.size();
   for (const Placement& placement : placements) {
     const TaskPlan plan =
         this->parts->placing.Plan(placement, work->request.service,
@@ -117,7 +117,7 @@
   const bool current = work != nullptr &&
                        work->phase == DeferredPhase::kRecording &&
                        work->attempt.number == record.attempt;
-  if (!current || --work->records_left > 0) {
+  if (!current || --work->pending_records > 0) {
     return;
   }
   this->timers.Clear(record.request);
@@ -145,7 +145,7 @@
   if (work == nullptr || work->attempt.Find(update.task) == nullptr) {
     return;
   }
-  this->parts->placing.NoteHealth(update, work->request.service);
+  this->parts->placing.RecordHealth(update, work->request.service);
   this->UpdateSlot(work, update);
   if (work->phase == DeferredPhase::kRecording) {
     // A placement that is not sent yet has lost its worker.
@@ -161,7 +161,7 @@
     this->Settled(work);
     return;
   }
-  if (work->attempt.Broken()) {
+  if (work->attempt.CanNotComplete()) {
     this->StopTasks(work, false);
   }
 }
@@ -299,7 +299,7 @@
   }
 }
 
-bool DeferredFlow::Quiet() const {
+bool DeferredFlow::HasNoPendingStart() const {
   return std::ranges::none_of(this->works, [](const auto& entry) {
     const DeferredPhase phase = entry.second.phase;
     return phase == DeferredPhase::kRecording ||
--- a/packages/core/src/lifecycle/deferred_flow.h
+++ b/packages/core/src/lifecycle/deferred_flow.h
@@ -51,7 +51,7 @@
   std::int32_t refusals = 0;
   Attempt attempt;
   /// *Started* records of this attempt that are not durable yet.
-  std::size_t records_left = 0;
+  std::size_t pending_records = 0;
   std::vector<WorkerId> avoid;
   Instant accepted;
   bool cancel_wanted = false;
@@ -93,7 +93,7 @@
   /// @return true if work waits for room on a worker
   [[nodiscard]] bool AnyWaiting() const;
   /// @return true if no part of deferred work is about to be started here
-  [[nodiscard]] bool Quiet() const;
+  [[nodiscard]] bool HasNoPendingStart() const;
   /// Takes all waiting work out of the queue, for a shutdown or an outage.
   void ParkAll();
   /// Queues what is parked, as far as it may start now.
@@ -120,8 +120,8 @@
   void StopTasks(DeferredWork* work, bool checkpoint);
   void UpdateSlot(DeferredWork* work, const TaskUpdate& update);
   void Settled(DeferredWork* work);
-  void AfterFailure(DeferredWork* work, Verdict verdict);
-  void AfterRefusal(DeferredWork* work);
+  void HandleFailure(DeferredWork* work, AttemptResult result);
+  void HandleRefusal(DeferredWork* work);
   void Requeue(DeferredWork* work);
   void End(DeferredWork* work, DeferredState state, Answer answer);
   void EndCancelled(DeferredWork* work);
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -23,7 +23,7 @@
 constexpr std::size_t kMaxRememberedPeers = 20000;
 
 /// Errors that another process would answer alike.
-bool Final(std::error_code error) {
+bool IsFinalError(std::error_code error) {
   return error == Error::kUnknownTeam || error == Error::kHeaderInvalid ||
          error == Error::kBodyTooLarge || error == Error::kCancelled ||
          error == Error::kKeyReused || error == Error::kKeyInProgress;
@@ -31,49 +31,49 @@
 
 }  // namespace
 
-bool Forwarding::MayLeave(const ActiveRequest& entry) const {
+bool Forwarding::MayForward(const ActiveRequest& entry) const {
   const Duration left = entry.deadline - this->parts->context.now;
   return entry.request.hops < kMaxHops && entry.forwards < kMaxForwards &&
          left > 2 * kForwardMargin && !entry.caller_gone;
 }
 
-std::optional<std::vector<ProcessId>> Forwarding::Forbidden(
+std::optional<std::vector<ProcessId>> Forwarding::ExcludedPeers(
     const ActiveRequest& entry, Reach reach) const {
-  std::vector<ProcessId> forbidden = entry.avoid_peers;
-  forbidden.push_back(entry.request.origin);
-  const bool came_from_near = this->parts->IsLocal(entry.request.origin);
-  bool near = true;
-  bool far = reach == Reach::kAnywhere;
+  std::vector<ProcessId> excluded = entry.avoid_peers;
+  excluded.push_back(entry.request.origin);
+  const bool from_local_peer = this->parts->IsLocal(entry.request.origin);
+  bool allow_local = true;
+  bool allow_remote = reach == Reach::kAnywhere;
   // One hop inside a data centre and two in all, so that no request travels in
   // circles: after a hop inside, only another data centre is left.
   if (entry.request.hops > 0) {
-    near = !came_from_near;
-    far = far && came_from_near;
+    allow_local = !from_local_peer;
+    allow_remote = allow_remote && from_local_peer;
   }
-  if (!near && !far) {
+  if (!allow_local && !allow_remote) {
     return std::nullopt;
   }
-  if (!near) {
+  if (!allow_local) {
     const auto& peers = this->parts->local_peers;
-    forbidden.insert(forbidden.end(), peers.begin(), peers.end());
+    excluded.insert(excluded.end(), peers.begin(), peers.end());
   }
-  if (!far) {
+  if (!allow_remote) {
     const auto& peers = this->parts->remote_peers;
-    forbidden.insert(forbidden.end(), peers.begin(), peers.end());
+    excluded.insert(excluded.end(), peers.begin(), peers.end());
   }
-  return forbidden;
+  return excluded;
 }
 
 bool Forwarding::TryForward(ActiveRequest* entry, Reach reach) {
-  if (!this->MayLeave(*entry)) {
+  if (!this->MayForward(*entry)) {
     return false;
   }
-  const auto forbidden = this->Forbidden(*entry, reach);
-  if (!forbidden) {
+  const auto excluded = this->ExcludedPeers(*entry, reach);
+  if (!excluded) {
     return false;
   }
   const std::optional<ProcessId> peer = this->parts->membership.ChooseForward(
-      this->parts->context.now, entry->terms.resources, *forbidden,
+      this->parts->context.now, entry->terms.resources, *excluded,
       this->parts->context.random());
   if (!peer) {
     return false;
@@ -86,14 +86,13 @@
   if (this->TryForward(entry, Reach::kAnywhere)) {
     return true;
   }
-  const auto forbidden = this->Forbidden(*entry, Reach::kOwnDataCenter);
-  if (!this->MayLeave(*entry) || !forbidden) {
+  const auto excluded = this->ExcludedPeers(*entry, Reach::kOwnDataCenter);
+  if (!this->MayForward(*entry) || !excluded) {
     return false;
   }
   for (const ProcessId& peer : this->parts->local_peers) {
     const auto digest = this->parts->membership.LastDigest(peer);
-    const bool allowed =
-        std::ranges::find(*forbidden, peer) == forbidden->end();
+    const bool allowed = std::ranges::find(*excluded, peer) == excluded->end();
     if (allowed && digest && digest->owned_workers > 0 && !digest->stopping) {
       this->Send(entry, peer);
       return true;
@@ -154,11 +153,11 @@
     return;
   }
   if (event.answer.outcome == Outcome::kNotRun) {
-    this->Return(entry, event.answer);
+    this->HandleNotRun(entry, event.answer);
     return;
   }
   if (entry->terms.deferred && event.answer.status == kAcceptedStatus) {
-    this->RememberTakenOn(event.request, event.peer);
+    this->RecordAcceptedBy(event.request, event.peer);
     if (entry->claimed) {
       this->parts->claims.SettleAccepted(entry->request);
     }
@@ -169,13 +168,13 @@
   this->parts->answers.Finish(entry, event.answer);
 }
 
-void Forwarding::Return(ActiveRequest* entry, Answer answer) {
+void Forwarding::HandleNotRun(ActiveRequest* entry, Answer answer) {
   entry->avoid_peers.push_back(entry->peer);
-  if (Final(answer.error)) {
+  if (IsFinalError(answer.error)) {
     this->parts->answers.Finish(entry, std::move(answer));
     return;
   }
-  this->parts->requests.TryAgain(entry, std::move(answer));
+  this->parts->requests.Retry(entry, std::move(answer));
 }
 
 void Forwarding::On(const ForwardFailed& event) {
@@ -189,16 +188,16 @@
     Answer answer;
     answer.error = Error::kPeerLost;
     answer.detail = "peer " + event.peer.Text() + " can not be reached";
-    this->Return(entry, std::move(answer));
+    this->HandleNotRun(entry, std::move(answer));
     return;
   }
   if (entry->terms.deferred) {
-    this->RememberTakenOn(event.request, event.peer);
+    this->RecordAcceptedBy(event.request, event.peer);
   }
   const bool recall = entry->terms.idempotent && !entry->terms.deferred &&
                       this->parts->membership.Alive(event.peer);
   if (!recall) {
-    this->parts->answers.Unknown(
+    this->parts->answers.AnswerUnknown(
         entry, Error::kPeerLost,
         "peer " + event.peer.Text() + " was lost while it had the request");
     return;
@@ -231,8 +230,8 @@
   const bool stopped =
       event.status && event.status->state == DeferredState::kCancelled;
   if (!stopped) {
-    this->parts->answers.Unknown(entry, Error::kPeerLost,
-                                 "a peer lost sight of the request");
+    this->parts->answers.AnswerUnknown(entry, Error::kPeerLost,
+                                       "a peer lost sight of the request");
     return true;
   }
   Answer last;
@@ -247,27 +246,28 @@
     last.status = kUnavailableStatus;
   }
   entry->avoid_peers.push_back(entry->peer);
-  this->parts->requests.TryAgain(entry, std::move(last));
+  this->parts->requests.Retry(entry, std::move(last));
   return true;
 }
 
-std::optional<ProcessId> Forwarding::TakenOnBy(const RequestId& request) const {
-  const auto found = this->taken_on.find(request);
-  if (found == this->taken_on.end()) {
+std::optional<ProcessId> Forwarding::AcceptedBy(
+    const RequestId& request) const {
+  const auto found = this->accepted_by.find(request);
+  if (found == this->accepted_by.end()) {
     return std::nullopt;
   }
   return found->second;
 }
 
-void Forwarding::RememberTakenOn(const RequestId& request,
-                                 const ProcessId& peer) {
-  if (!this->taken_on.insert_or_assign(request, peer).second) {
+void Forwarding::RecordAcceptedBy(const RequestId& request,
+                                  const ProcessId& peer) {
+  if (!this->accepted_by.insert_or_assign(request, peer).second) {
     return;
   }
-  this->taken_on_order.push_back(request);
-  if (this->taken_on_order.size() > kMaxRememberedPeers) {
-    this->taken_on.erase(this->taken_on_order.front());
-    this->taken_on_order.pop_front();
+  this->accepted_by_order.push_back(request);
+  if (this->accepted_by_order.size() > kMaxRememberedPeers) {
+    this->accepted_by.erase(this->accepted_by_order.front());
+    this->accepted_by_order.pop_front();
   }
 }
 
--- a/packages/core/src/lifecycle/forwarding.h
+++ b/packages/core/src/lifecycle/forwarding.h
@@ -43,22 +43,22 @@
   /// @return true if the answer was to a question that this part asked
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
   /// @return the peer that took on deferred work that arrived here
-  [[nodiscard]] std::optional<ProcessId> TakenOnBy(
+  [[nodiscard]] std::optional<ProcessId> AcceptedBy(
       const RequestId& request) const;
 
  private:
   void Send(ActiveRequest* entry, const ProcessId& peer);
-  [[nodiscard]] std::optional<std::vector<ProcessId>> Forbidden(
+  [[nodiscard]] std::optional<std::vector<ProcessId>> ExcludedPeers(
       const ActiveRequest& entry, Reach reach) const;
-  [[nodiscard]] bool MayLeave(const ActiveRequest& entry) const;
-  void RememberTakenOn(const RequestId& request, const ProcessId& peer);
-  void Return(ActiveRequest* entry, Answer answer);
+  [[nodiscard]] bool MayForward(const ActiveRequest& entry) const;
+  void RecordAcceptedBy(const RequestId& request, const ProcessId& peer);
+  void HandleNotRun(ActiveRequest* entry, Answer answer);
 
   Parts* parts;
   std::map<std::uint64_t, RequestId> recalls;
   TimerQueue<RequestId> cancels;
-  std::unordered_map<RequestId, ProcessId> taken_on;
-  std::deque<RequestId> taken_on_order;
+  std::unordered_map<RequestId, ProcessId> accepted_by;
+  std::deque<RequestId> accepted_by_order;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/journals.cc
+++ b/packages/core/src/lifecycle/journals.cc
@@ -51,19 +51,19 @@
   return names;
 }
 
-bool Journals::Unused(const JournalId& journal) const {
+bool Journals::IsUnused(const JournalId& journal) const {
   const auto found = this->open.find(journal);
   return found == this->open.end() ||
          (found->second.writer.LastSequence() == 0 &&
           found->second.writer.Idle() && found->second.overflow.empty());
 }
 
-bool Journals::Closing(const JournalId& journal) const {
+bool Journals::IsClosing(const JournalId& journal) const {
   const auto found = this->open.find(journal);
   return found != this->open.end() && found->second.closing;
 }
 
-void Journals::EraseOld() {
+void Journals::EraseExpired() {
   std::vector<JournalId> old;
   for (const auto& [name, journal] : this->open) {
     const Duration age = this->parts->context.now - journal.opened;
--- a/packages/core/src/lifecycle/journals.h
+++ b/packages/core/src/lifecycle/journals.h
@@ -32,11 +32,11 @@
   /// Grows whenever `Names` changes.
   [[nodiscard]] std::uint64_t Generation() const { return this->generation; }
   /// @return true if the journal is being handed over
-  [[nodiscard]] bool Closing(const JournalId& journal) const;
+  [[nodiscard]] bool IsClosing(const JournalId& journal) const;
   /// @return true if nothing was ever written to it
-  [[nodiscard]] bool Unused(const JournalId& journal) const;
+  [[nodiscard]] bool IsUnused(const JournalId& journal) const;
   /// Removes adopted journals that nobody needs any more.
-  void EraseOld();
+  void EraseExpired();
   /// @return true if an append would most likely be durable soon
   [[nodiscard]] bool Healthy() const;
   /// Takes a record in.
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -70,7 +70,7 @@
     answers.Finish(entry, *claim.answer);
     return;
   }
-  if (this->HolderGone(claim.request)) {
+  if (this->IsHolderGone(claim.request)) {
     Answer answer;
     answer.outcome = Outcome::kUnknown;
     answer.status = kBadGatewayStatus;
@@ -91,22 +91,22 @@
   answers.Finish(entry, std::move(answer));
 }
 
-bool KeyClaims::HolderGone(const RequestId& holder) const {
-  const std::optional<NamedProcess> maker = MakerOf(holder);
-  if (!maker) {
+bool KeyClaims::IsHolderGone(const RequestId& holder) const {
+  const std::optional<NamedProcess> creator = CreatorOf(holder);
+  if (!creator) {
     return false;
   }
   const CoreOptions& options = this->parts->context.options;
-  if (maker->process == options.self.process) {
-    return maker->incarnation != options.incarnation;
+  if (creator->process == options.self.process) {
+    return creator->incarnation != options.incarnation;
   }
   const std::optional<Digest> digest =
-      this->parts->membership.LastDigest(maker->process);
+      this->parts->membership.LastDigest(creator->process);
   if (!digest) {
-    return !this->parts->membership.Alive(maker->process) &&
-           this->parts->IsLocal(maker->process);
+    return !this->parts->membership.Alive(creator->process) &&
+           this->parts->IsLocal(creator->process);
   }
-  return digest->incarnation != maker->incarnation;
+  return digest->incarnation != creator->incarnation;
 }
 
 void KeyClaims::On(const KeyUnavailable& event) {
@@ -130,17 +130,17 @@
   const bool may_come =
       entry.phase == RequestPhase::kRunning && entry.attempt.slots.size() == 1;
   if (answer.outcome == Outcome::kUnknown && may_come) {
-    this->late[entry.request.id] = std::move(claim);
+    this->unknown_claims[entry.request.id] = std::move(claim);
   }
 }
 
-void KeyClaims::SettleLate(const RequestId& request, const Answer& answer) {
-  const auto found = this->late.find(request);
-  if (found == this->late.end()) {
+void KeyClaims::SettleUnknown(const RequestId& request, const Answer& answer) {
+  const auto found = this->unknown_claims.find(request);
+  if (found == this->unknown_claims.end()) {
     return;
   }
   this->EmitSettle(request, found->second, answer, false);
-  this->late.erase(found);
+  this->unknown_claims.erase(found);
 }
 
 void KeyClaims::SettleAccepted(const Request& request) {
@@ -165,18 +165,18 @@
   this->abandoned[request.id] =
       Claim{request.team, request.idempotency_key, BodyHash(View(request.body)),
             kDropRepeats};
-  this->drops.Set(request.id, this->parts->context.now + kDropInterval);
+  this->drop_timers.Set(request.id, this->parts->context.now + kDropInterval);
 }
 
 void KeyClaims::OnPlatformBack() {
   for (const auto& [request, claim] : this->abandoned) {
-    this->drops.Set(request, this->parts->context.now);
+    this->drop_timers.Set(request, this->parts->context.now);
   }
 }
 
 void KeyClaims::Tick() {
   const Instant now = this->parts->context.now;
-  for (const RequestId& request : this->drops.TakeDue(now)) {
+  for (const RequestId& request : this->drop_timers.TakeDue(now)) {
     const auto found = this->abandoned.find(request);
     if (found == this->abandoned.end()) {
       continue;
@@ -188,17 +188,17 @@
       this->abandoned.erase(found);
       continue;
     }
-    this->drops.Set(request, now + kDropInterval);
+    this->drop_timers.Set(request, now + kDropInterval);
   }
 }
 
-void KeyClaims::Housekeep() {
+void KeyClaims::SweepExpired() {
   const CoreContext& context = this->parts->context;
   if (context.now < this->next_sweep || context.configuration.version == 0) {
     return;
   }
   this->next_sweep = context.now + kSweepInterval;
-  if (!context.platform_reachable || !this->SweepsForTheCell()) {
+  if (!context.platform_reachable || !this->IsCellSweeper()) {
     return;
   }
   SweepClaims sweep;
@@ -206,16 +206,16 @@
   this->parts->context.Emit(sweep);
 }
 
-bool KeyClaims::SweepsForTheCell() const {
+bool KeyClaims::IsCellSweeper() const {
   // Views may differ, and two processes may sweep at a time; that costs calls
   // and nothing else.
   const CoreOptions& options = this->parts->context.options;
-  const bool lower_elsewhere =
+  const bool lower_data_center_alive =
       std::ranges::any_of(options.peers, [&](const PeerDescription& peer) {
         return peer.data_center < options.self.data_center &&
                this->parts->membership.Alive(peer.process);
       });
-  return this->parts->membership.KeepsWatch() && !lower_elsewhere;
+  return this->parts->membership.KeepsWatch() && !lower_data_center_alive;
 }
 
 void KeyClaims::EmitSettle(const RequestId& request, const Claim& claim,
--- a/packages/core/src/lifecycle/key_claims.h
+++ b/packages/core/src/lifecycle/key_claims.h
@@ -31,19 +31,21 @@
   /// is dropped again, several times, so that repeats are not blocked for good.
   void Abandon(const Request& request);
   /// The end of a request that was answered "unknown" became known after all.
-  void SettleLate(const RequestId& request, const Answer& answer);
+  void SettleUnknown(const RequestId& request, const Answer& answer);
   /// No more news of the request can come.
-  void ForgetLate(const RequestId& request) { this->late.erase(request); }
+  void ForgetUnknown(const RequestId& request) {
+    this->unknown_claims.erase(request);
+  }
   /// A key of adopted or accepted deferred work.
   void SettleAccepted(const Request& request);
   void OnPlatformBack();
   void Tick();
   /// Has old claims removed from time to time, by one process of the cell.
-  void Housekeep();
-  [[nodiscard]] Instant NextWakeup() const { return this->drops.Next(); }
+  void SweepExpired();
+  [[nodiscard]] Instant NextWakeup() const { return this->drop_timers.Next(); }
 
  private:
-  [[nodiscard]] bool SweepsForTheCell() const;
+  [[nodiscard]] bool IsCellSweeper() const;
 
   struct Claim {
     TeamId team;
@@ -54,14 +56,14 @@
   };
 
   void AnswerRepeat(ActiveRequest* entry, const KeyClaim& claim);
-  [[nodiscard]] bool HolderGone(const RequestId& holder) const;
+  [[nodiscard]] bool IsHolderGone(const RequestId& holder) const;
   void EmitSettle(const RequestId& request, const Claim& claim,
                   const Answer& answer, bool drop);
 
   Parts* parts;
   std::map<RequestId, Claim> abandoned;
-  std::map<RequestId, Claim> late;
-  TimerQueue<RequestId> drops;
+  std::map<RequestId, Claim> unknown_claims;
+  TimerQueue<RequestId> drop_timers;
   Instant next_sweep;
 };
 
--- a/packages/core/src/lifecycle/orphan_gangs.cc
+++ b/packages/core/src/lifecycle/orphan_gangs.cc
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-void OrphanGangs::OnFound(const RequestId& request, const ServiceId& service) {
+void OrphanGangs::OnForeignTask(const RequestId& request,
+                                const ServiceId& service) {
   const auto terms = TermsOf(this->parts->context.configuration, service);
   const bool candidate = terms && terms->tasks > 1 && terms->idempotent &&
                          !terms->deferred && !this->asking.contains(request) &&
--- a/packages/core/src/lifecycle/orphan_gangs.h
+++ b/packages/core/src/lifecycle/orphan_gangs.h
@@ -26,7 +26,7 @@
   explicit OrphanGangs(Parts* parts) : parts(parts) {}
 
   /// A task that this process did not start runs at one of its workers.
-  void OnFound(const RequestId& request, const ServiceId& service);
+  void OnForeignTask(const RequestId& request, const ServiceId& service);
   /// @return true if the answer was to a question that this part asked
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
   void Tick();
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -110,7 +110,7 @@
   this->shutdown.Tick();
   this->DispatchTaskUpdates();
   this->journals.Tick();
-  this->Housekeep();
+  this->RunMaintenance();
 }
 
 void Parts::DispatchTaskUpdates() {
@@ -142,7 +142,7 @@
   }
   for (const ProcessId& peer : this->membership.TakeLost(now)) {
     this->context.Record(PeerEvent(TimelineKind::kPeerLost, peer));
-    this->adoption.ListSoon();
+    this->adoption.ScheduleList();
   }
 }
 
@@ -173,7 +173,7 @@
   return digest;
 }
 
-void Parts::Housekeep() {
+void Parts::RunMaintenance() {
   if (this->context.now < this->next_maintenance) {
     return;
   }
@@ -181,8 +181,8 @@
   if (this->context.configuration.version > 0) {
     (void)this->store.Expire(this->context.now, this->LongestRetention());
   }
-  this->claims.Housekeep();
-  this->journals.EraseOld();
+  this->claims.SweepExpired();
+  this->journals.EraseExpired();
   this->HandOverStranded();
   this->workers.CloseLost();
   this->workers.ProbeIdle();
@@ -249,7 +249,7 @@
     return;
   }
   for (const JournalId& journal : this->journals.Names()) {
-    if (!this->journals.Unused(journal)) {
+    if (!this->journals.IsUnused(journal)) {
       this->HandOver(journal);
     }
   }
@@ -292,7 +292,7 @@
                      (update.ended.end == TaskEnd::kFinished ||
                       update.ended.end == TaskEnd::kFailed);
   if (!whole) {
-    this->claims.ForgetLate(update.request);
+    this->claims.ForgetUnknown(update.request);
     return;
   }
   Answer answer;
@@ -300,7 +300,7 @@
   answer.status = update.ended.status;
   answer.content_type = update.ended.content_type;
   answer.body = update.ended.body;
-  this->claims.SettleLate(update.request, answer);
+  this->claims.SettleUnknown(update.request, answer);
 }
 
 void Parts::StopAtPeers(const RequestId& request) {
@@ -317,7 +317,7 @@
   }
 }
 
-FinishedRecord Parts::Bounded(FinishedRecord record) const {
+FinishedRecord Parts::TruncateToFit(FinishedRecord record) const {
   if (EncodedSizeBound(record) <=
       this->context.options.journal.max_batch_bytes) {
     return record;
--- a/packages/core/src/lifecycle/parts.h
+++ b/packages/core/src/lifecycle/parts.h
@@ -109,12 +109,12 @@
   /// Stops tasks of a request at workers that peers own.
   void StopAtPeers(const RequestId& request);
   /// Cuts an end that is too large for the journal down to a failure.
-  [[nodiscard]] FinishedRecord Bounded(FinishedRecord record) const;
+  [[nodiscard]] FinishedRecord TruncateToFit(FinishedRecord record) const;
 
  private:
   void DispatchTaskUpdates();
   void TickMembership();
-  void Housekeep();
+  void RunMaintenance();
   void HandOverStranded();
 
   std::int32_t process_number = 0;
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -89,7 +89,7 @@
   }
 }
 
-void Placing::Unplace(std::span<const Placement> placements) {
+void Placing::ReleasePlacements(std::span<const Placement> placements) {
   for (const Placement& placement : placements) {
     this->parts->scheduler.TaskDone(
         this->parts->context.now, &this->parts->ledger, placement.task, false);
@@ -146,7 +146,7 @@
   }
 }
 
-void Placing::NoteHealth(const TaskUpdate& update, const ServiceId& service) {
+void Placing::RecordHealth(const TaskUpdate& update, const ServiceId& service) {
   const Instant now = this->parts->context.now;
   const bool failed = update.kind == TaskUpdate::Kind::kEnded &&
                       update.ended.end == TaskEnd::kFailed;
@@ -160,7 +160,7 @@
   }
 }
 
-void Placing::SampleWait(const ProfileId& profile, Instant arrived) {
+void Placing::RecordWait(const ProfileId& profile, Instant arrived) {
   RecordSample sample;
   sample.profile = profile;
   sample.value = (this->parts->context.now - arrived).count();
--- a/packages/core/src/lifecycle/placing.h
+++ b/packages/core/src/lifecycle/placing.h
@@ -35,7 +35,7 @@
   [[nodiscard]] Instant NextWakeup() const;
 
   /// Gives placements back that nobody wants any more.
-  void Unplace(std::span<const Placement> placements);
+  void ReleasePlacements(std::span<const Placement> placements);
   /// Follows a placed task from now on.
   TaskPlan Plan(const Placement& placement, const ServiceId& service,
                 Duration max_run, bool detached);
@@ -46,12 +46,12 @@
   void Avoid(std::vector<WorkerId>* avoid,
              std::span<const WorkerId> failed) const;
   /// Feeds the health of workers.
-  void NoteHealth(const TaskUpdate& update, const ServiceId& service);
+  void RecordHealth(const TaskUpdate& update, const ServiceId& service);
   /// @return true if the health of a worker may have changed since last time
   [[nodiscard]] bool TakeHealthChanged() {
     return std::exchange(this->health_changed, false);
   }
-  void SampleWait(const ProfileId& profile, Instant arrived);
+  void RecordWait(const ProfileId& profile, Instant arrived);
 
  private:
   Parts* parts;
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -25,7 +25,7 @@
   if (this->AnswerHere(event)) {
     return;
   }
-  Relayed next;
+  RelayedQuery next;
   next.query = event.query;
   next.request = event.request;
   next.cancel = event.cancel;
@@ -48,7 +48,8 @@
   if (event.cancel &&
       this->parts->deferred.Cancel(event.request, event.query)) {
     this->cancelling[event.query] = event.request;
-    this->limits.Set(event.query, this->parts->context.now + kCancelTimeout);
+    this->cancel_deadlines.Set(event.query,
+                               this->parts->context.now + kCancelTimeout);
     return true;
   }
   ActiveRequest* entry = this->parts->table.Find(event.request);
@@ -109,7 +110,7 @@
 }
 
 void QueryFlow::AnswerFromStore(std::uint64_t query, const RequestId& request) {
-  this->limits.Clear(query);
+  this->cancel_deadlines.Clear(query);
   this->cancelling.erase(query);
   DeferredStatus status;
   status.id = request;
@@ -132,17 +133,17 @@
       peers.push_back(peer);
     }
   };
-  const auto taken_on = this->parts->forwarding.TakenOnBy(request);
-  if (taken_on) {
-    add(*taken_on);
+  const auto accepted_by = this->parts->forwarding.AcceptedBy(request);
+  if (accepted_by) {
+    add(*accepted_by);
   }
   // A peer has asked the others itself.
   if (from_peer) {
     return peers;
   }
-  const auto maker = MakerOf(request);
-  if (maker && this->parts->IsPeer(maker->process)) {
-    add(maker->process);
+  const auto creator = CreatorOf(request);
+  if (creator && this->parts->IsPeer(creator->process)) {
+    add(creator->process);
   }
   for (const ProcessId& peer : this->parts->local_peers) {
     if (this->parts->membership.Alive(peer)) {
@@ -157,7 +158,7 @@
   return peers;
 }
 
-void QueryFlow::AskNext(Relayed next) {
+void QueryFlow::AskNext(RelayedQuery next) {
   if (next.peers_left.empty()) {
     // Failure: the journal was adopted here while the peers were asked, and
     // only the state is looked up again. The caller reads "finished" with an
@@ -181,17 +182,17 @@
   ask.request = next.request;
   ask.cancel = next.cancel;
   next.peers_left.erase(next.peers_left.begin());
-  this->relayed.emplace(ask.query, std::move(next));
+  this->relayed_queries.emplace(ask.query, std::move(next));
   this->parts->context.Emit(std::move(ask));
 }
 
 void QueryFlow::On(const QueryAnswered& event) {
-  const auto found = this->relayed.find(event.query);
-  if (found == this->relayed.end()) {
+  const auto found = this->relayed_queries.find(event.query);
+  if (found == this->relayed_queries.end()) {
     return;
   }
-  Relayed next = std::move(found->second);
-  this->relayed.erase(found);
+  RelayedQuery next = std::move(found->second);
+  this->relayed_queries.erase(found);
   if (event.status) {
     this->Answer(next.query, event.status);
     return;
@@ -206,7 +207,7 @@
 
 void QueryFlow::Tick() {
   for (const std::uint64_t query :
-       this->limits.TakeDue(this->parts->context.now)) {
+       this->cancel_deadlines.TakeDue(this->parts->context.now)) {
     const auto found = this->cancelling.find(query);
     if (found == this->cancelling.end()) {
       continue;
--- a/packages/core/src/lifecycle/query_flow.h
+++ b/packages/core/src/lifecycle/query_flow.h
@@ -26,11 +26,13 @@
   /// Answers with what is durable.
   void AnswerFromStore(std::uint64_t query, const RequestId& request);
   void Tick();
-  [[nodiscard]] Instant NextWakeup() const { return this->limits.Next(); }
+  [[nodiscard]] Instant NextWakeup() const {
+    return this->cancel_deadlines.Next();
+  }
 
  private:
   /// A question that peers are asked, one after the other.
-  struct Relayed {
+  struct RelayedQuery {
     std::uint64_t query = 0;
     RequestId request;
     bool cancel = false;
@@ -49,15 +51,15 @@
       const RequestId& request) const;
   [[nodiscard]] std::vector<ProcessId> PeersToAsk(const RequestId& request,
                                                   bool from_peer) const;
-  void AskNext(Relayed relayed);
+  void AskNext(RelayedQuery query);
   void Answer(std::uint64_t query, std::optional<DeferredStatus> status);
 
   Parts* parts;
   /// By the number of the question to the peer.
-  std::map<std::uint64_t, Relayed> relayed;
+  std::map<std::uint64_t, RelayedQuery> relayed_queries;
   /// Cancellations that wait to be settled.
   std::map<std::uint64_t, RequestId> cancelling;
-  TimerQueue<std::uint64_t> limits;
+  TimerQueue<std::uint64_t> cancel_deadlines;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/request_answers.cc
+++ b/packages/core/src/lifecycle/request_answers.cc
@@ -44,8 +44,8 @@
   this->parts->context.Emit(Reply{request.id, std::move(answer)});
 }
 
-void RequestAnswers::Recalls(ActiveRequest* entry, bool ran,
-                             DeferredState state) {
+void RequestAnswers::AnswerRecalls(ActiveRequest* entry, bool ran,
+                                   DeferredState state) {
   for (const std::uint64_t query : std::exchange(entry->recalls, {})) {
     DeferredStatus status;
     status.id = entry->request.id;
@@ -76,8 +76,8 @@
                admission.detail, admission.retry_after);
 }
 
-void RequestAnswers::Unknown(ActiveRequest* entry, std::error_code error,
-                             std::string text) {
+void RequestAnswers::AnswerUnknown(ActiveRequest* entry, std::error_code error,
+                                   std::string text) {
   Answer answer;
   answer.outcome = Outcome::kUnknown;
   answer.status = error == Error::kDeadlineExceeded ? kGatewayTimeoutStatus
@@ -106,8 +106,8 @@
   this->parts->context.Record(RequestEvent(
       refused ? TimelineKind::kRequestRefused : TimelineKind::kRequestAnswered,
       id, answer.detail));
-  this->Recalls(entry, answer.outcome != Outcome::kNotRun,
-                DeferredState::kUnknown);
+  this->AnswerRecalls(entry, answer.outcome != Outcome::kNotRun,
+                      DeferredState::kUnknown);
   this->parts->health.Forget(id);
   this->parts->table.Remove(id);
   this->parts->context.Emit(Reply{id, std::move(answer)});
--- a/packages/core/src/lifecycle/request_answers.h
+++ b/packages/core/src/lifecycle/request_answers.h
@@ -34,9 +34,10 @@
   void RefuseArrival(const Request& request, std::error_code error,
                      std::string text);
   /// Answers "unknown".
-  void Unknown(ActiveRequest* entry, std::error_code error, std::string text);
+  void AnswerUnknown(ActiveRequest* entry, std::error_code error,
+                     std::string text);
   /// Answers the peers that asked for the request's tasks to be stopped.
-  void Recalls(ActiveRequest* entry, bool ran, DeferredState state);
+  void AnswerRecalls(ActiveRequest* entry, bool ran, DeferredState state);
 
  private:
   Parts* parts;
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -24,7 +24,7 @@
   if (slot == nullptr) {
     return;
   }
-  this->parts->placing.NoteHealth(update, entry->request.service);
+  this->parts->placing.RecordHealth(update, entry->request.service);
   switch (update.kind) {
     case TaskUpdate::Kind::kStarted:
       slot->state = SlotState::kRunning;
@@ -49,7 +49,7 @@
     return;
   }
   // A gang that has lost a task is not whole: the others must not run on alone.
-  if (entry->attempt.Broken()) {
+  if (entry->attempt.CanNotComplete()) {
     this->StopTasks(entry);
   }
 }
@@ -59,7 +59,7 @@
   // Nothing more can be learnt in time that would allow a second start, so a
   // non-idempotent request is answered now instead of at its deadline.
   if (!entry->terms.idempotent) {
-    this->parts->answers.Unknown(
+    this->parts->answers.AnswerUnknown(
         entry, Error::kAnswerIncomplete,
         "the answer of worker " + update.worker.Text() + " was lost");
   }
@@ -89,14 +89,14 @@
   if (!attempt.preempted) {
     this->parts->placing.Avoid(&entry->avoid, attempt.FailedWorkers());
   }
-  const Verdict verdict = attempt.Judge();
-  if (verdict == Verdict::kFinished) {
+  const AttemptResult result = attempt.Evaluate();
+  if (result == AttemptResult::kFinished) {
     this->parts->answers.Finish(entry, attempt.MergedAnswer());
     return;
   }
   if (!entry->recalls.empty()) {
-    this->parts->answers.Recalls(entry, entry->may_have_run,
-                                 DeferredState::kCancelled);
+    this->parts->answers.AnswerRecalls(entry, entry->may_have_run,
+                                       DeferredState::kCancelled);
     Answer cancelled;
     cancelled.error = Error::kCancelled;
     this->parts->answers.Finish(entry, std::move(cancelled));
@@ -106,25 +106,25 @@
   last.status = kUnavailableStatus;
   last.error = Error::kNoWorker;
   last.detail = "no worker accepted the task";
-  if (verdict == Verdict::kNeverStarted) {
-    this->TryAgain(entry, std::move(last));
+  if (result == AttemptResult::kNeverStarted) {
+    this->Retry(entry, std::move(last));
     return;
   }
-  this->AfterFailure(entry);
+  this->HandleFailure(entry);
 }
 
-void RequestFlow::AfterFailure(ActiveRequest* entry) {
+void RequestFlow::HandleFailure(ActiveRequest* entry) {
   const Attempt& attempt = entry->attempt;
-  const Verdict verdict = attempt.Judge();
+  const AttemptResult result = attempt.Evaluate();
   Answer last;
   last.outcome = Outcome::kUnknown;
   last.status = kBadGatewayStatus;
   last.error =
-      verdict == Verdict::kLost ? Error::kWorkerLost : Error::kTaskFailed;
-  last.detail = verdict == Verdict::kLost
+      result == AttemptResult::kLost ? Error::kWorkerLost : Error::kTaskFailed;
+  last.detail = result == AttemptResult::kLost
                     ? "a worker was lost while it ran the task"
                     : "a task was stopped before its end";
-  if (verdict == Verdict::kFailed) {
+  if (result == AttemptResult::kFailed) {
     last = attempt.MergedAnswer();
     entry->last_failure = last;
   }
@@ -141,10 +141,10 @@
     this->parts->answers.Finish(entry, std::move(last));
     return;
   }
-  this->TryAgain(entry, std::move(last));
+  this->Retry(entry, std::move(last));
 }
 
-void RequestFlow::TryAgain(ActiveRequest* entry, Answer last) {
+void RequestFlow::Retry(ActiveRequest* entry, Answer last) {
   const Instant now = this->parts->context.now;
   const std::int32_t starts =
       entry->last_attempt % kAttemptsPerProcess + entry->forwards;
@@ -168,7 +168,7 @@
 bool RequestFlow::MayRetry(const ActiveRequest& entry) {
   // A start that was not even sent cost nothing.
   const bool free = entry.phase == RequestPhase::kRunning &&
-                    entry.attempt.Judge() == Verdict::kNeverStarted &&
+                    entry.attempt.Evaluate() == AttemptResult::kNeverStarted &&
                     entry.attempt.LeaseLost();
   return free || this->parts->retry_budget.TryRetry(this->parts->context.now);
 }
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -105,8 +105,8 @@
   }
   this->parts->context.Record(RequestEvent(TimelineKind::kRequestQueued, id));
   this->parts->table.queued.push_back(id);
-  this->next_move =
-      std::min(this->next_move, this->parts->context.now + kForwardAfter);
+  this->next_forward_round = std::min(this->next_forward_round,
+                                      this->parts->context.now + kForwardAfter);
 }
 
 bool RequestFlow::ForwardUnqueued(ActiveRequest* entry,
@@ -137,7 +137,7 @@
   const CoreContext& context = this->parts->context;
   ActiveRequest* entry = this->parts->table.Find(placements.front().request);
   if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
-    this->parts->placing.Unplace(placements);
+    this->parts->placing.ReleasePlacements(placements);
     return;
   }
   entry->phase = RequestPhase::kRunning;
@@ -146,7 +146,7 @@
   const bool detached = placements.size() > 1;
   const Duration left = entry->deadline - context.now + kAnswerGrace;
   const Duration timeout = detached ? kDetachedStartTimeout : left;
-  this->parts->placing.SampleWait(entry->terms.profile, entry->arrived);
+  this->parts->placing.RecordWait(entry->terms.profile, entry->arrived);
   for (const Placement& placement : placements) {
     this->parts->placing.Plan(placement, entry->request.service,
                               entry->terms.max_run, detached);
@@ -208,8 +208,8 @@
   switch (entry->phase) {
     case RequestPhase::kQueued:
       this->parts->scheduler.Cancel(entry->request.id);
-      this->parts->answers.Recalls(entry, entry->may_have_run,
-                                   DeferredState::kCancelled);
+      this->parts->answers.AnswerRecalls(entry, entry->may_have_run,
+                                         DeferredState::kCancelled);
       this->parts->answers.Refuse(entry, Error::kCancelled, kUnavailableStatus,
                                   "recalled");
       return;
@@ -217,7 +217,7 @@
       this->StopTasks(entry);
       return;
     default:
-      this->parts->answers.Recalls(entry, true, DeferredState::kUnknown);
+      this->parts->answers.AnswerRecalls(entry, true, DeferredState::kUnknown);
       return;
   }
 }
@@ -240,17 +240,18 @@
       return;
     case RequestPhase::kRunning:
       this->StopTasks(entry);
-      this->parts->answers.Unknown(
+      this->parts->answers.AnswerUnknown(
           entry, Error::kDeadlineExceeded,
           "the caller's timeout passed while the task ran");
       return;
     case RequestPhase::kForwarded:
       this->parts->context.Emit(ForwardCancel{entry->peer, request});
-      this->parts->answers.Unknown(entry, Error::kDeadlineExceeded,
-                                   "the caller's timeout passed at a peer");
+      this->parts->answers.AnswerUnknown(
+          entry, Error::kDeadlineExceeded,
+          "the caller's timeout passed at a peer");
       return;
     case RequestPhase::kRecalling:
-      this->parts->answers.Unknown(
+      this->parts->answers.AnswerUnknown(
           entry, Error::kPeerLost,
           "a peer was lost and its fate not learnt in time");
       return;
@@ -265,12 +266,12 @@
   for (const RequestId& request : this->parts->table.TakeExpired(now)) {
     this->OnDeadline(request);
   }
-  if (now >= this->next_move) {
-    this->MoveWaiting();
+  if (now >= this->next_forward_round) {
+    this->ForwardWaiting();
   }
 }
 
-void RequestFlow::MoveWaiting() {
+void RequestFlow::ForwardWaiting() {
   const Instant now = this->parts->context.now;
   std::deque<RequestId>& queued = this->parts->table.queued;
   std::size_t looked = 0;
@@ -294,12 +295,12 @@
       queued.push_back(id);
     }
   }
-  this->next_move =
+  this->next_forward_round =
       queued.empty() ? Instant::max() : now + kForwardRoundInterval;
 }
 
 Instant RequestFlow::NextWakeup() const {
-  return std::min(this->parts->table.NextDeadline(), this->next_move);
+  return std::min(this->parts->table.NextDeadline(), this->next_forward_round);
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/request_flow.h
+++ b/packages/core/src/lifecycle/request_flow.h
@@ -49,7 +49,7 @@
   void Recall(ActiveRequest* entry, std::uint64_t query);
   /// Goes on with a request that provably does not run anywhere now.
   /// @param last answer for the caller if it can't be tried again
-  void TryAgain(ActiveRequest* entry, Answer last);
+  void Retry(ActiveRequest* entry, Answer last);
 
  private:
   [[nodiscard]] bool Admit(const Request& request);
@@ -59,15 +59,15 @@
                                      const Admission& admission);
   void StopTasks(ActiveRequest* entry);
   void Settled(ActiveRequest* entry);
-  void AfterFailure(ActiveRequest* entry);
+  void HandleFailure(ActiveRequest* entry);
   void OnUncertain(ActiveRequest* entry, const TaskUpdate& update);
   void OnDeadline(const RequestId& request);
-  void MoveWaiting();
+  void ForwardWaiting();
   [[nodiscard]] bool MayRetry(const ActiveRequest& entry);
   [[nodiscard]] bool TimeLeft(const ActiveRequest& entry) const;
 
   Parts* parts;
-  Instant next_move = Instant::max();
+  Instant next_forward_round = Instant::max();
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/request_name.cc
+++ b/packages/core/src/lifecycle/request_name.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::optional<NamedProcess> MakerOf(const RequestId& request) {
+std::optional<NamedProcess> CreatorOf(const RequestId& request) {
   const std::string_view text = request.Text();
   const std::size_t counter = text.rfind('.');
   if (counter == std::string_view::npos || counter == 0) {
--- a/packages/core/src/lifecycle/request_name.h
+++ b/packages/core/src/lifecycle/request_name.h
@@ -18,7 +18,7 @@
 
 /// @return the parts of `<process>.<incarnation in hex>.<counter>`, or nothing
 ///   if the id has another form
-std::optional<NamedProcess> MakerOf(const RequestId& request);
+std::optional<NamedProcess> CreatorOf(const RequestId& request);
 /// @return the parts of `<process>.<incarnation in hex>` or
 ///   `<process>.<incarnation in hex>-<number>`
 std::optional<NamedProcess> WriterOf(const JournalId& journal);
--- a/packages/core/src/lifecycle/shutdown_flow.cc
+++ b/packages/core/src/lifecycle/shutdown_flow.cc
@@ -32,7 +32,7 @@
     return;
   }
   this->next_check = now + kCheckInterval;
-  const bool late = now >= this->step_limit;
+  const bool timed_out = now >= this->step_deadline;
   switch (this->step) {
     case Step::kRunning:
     case Step::kFinished:
@@ -44,12 +44,12 @@
       }
       return;
     case Step::kHandingOver:
-      if (this->handing_over.empty() || late) {
+      if (this->handing_over.empty() || timed_out) {
         this->Release();
       }
       return;
     case Step::kReleasing:
-      if (this->parts->workers.AllReleased() || late) {
+      if (this->parts->workers.AllReleased() || timed_out) {
         this->step = Step::kFinished;
         this->next_check = Instant::max();
         this->parts->context.Emit(ShutdownFinished{});
@@ -60,12 +60,12 @@
 
 void ShutdownFlow::HandOver() {
   this->step = Step::kHandingOver;
-  this->step_limit = this->parts->context.now + kHandOverTimeout;
+  this->step_deadline = this->parts->context.now + kHandOverTimeout;
   // Work whose tasks run goes on at the workers. The end of a task that is
   // learnt after this record would be lost for the adopter, so nothing of the
   // journal is followed any more.
   for (const JournalId& journal : this->parts->journals.Names()) {
-    if (this->parts->journals.Unused(journal)) {
+    if (this->parts->journals.IsUnused(journal)) {
       continue;
     }
     this->handing_over.insert(journal);
@@ -81,7 +81,7 @@
 
 void ShutdownFlow::Release() {
   this->step = Step::kReleasing;
-  this->step_limit = this->parts->context.now + kReleaseTimeout;
+  this->step_deadline = this->parts->context.now + kReleaseTimeout;
   this->parts->workers.ReleaseAll();
 }
 
--- a/packages/core/src/lifecycle/shutdown_flow.h
+++ b/packages/core/src/lifecycle/shutdown_flow.h
@@ -31,7 +31,7 @@
   Parts* parts;
   Step step = Step::kRunning;
   std::set<JournalId> handing_over;
-  Instant step_limit = Instant::max();
+  Instant step_deadline = Instant::max();
   Instant next_check = Instant::max();
 };
 
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -26,10 +26,10 @@
 
 void TaskTracker::On(const TaskQueried& event) {
   Tracked* tracked = this->Find(event.task);
-  if (tracked == nullptr || !tracked->asking) {
+  if (tracked == nullptr || !tracked->query_pending) {
     return;
   }
-  tracked->asking = false;
+  tracked->query_pending = false;
   switch (event.state) {
     case TaskQueried::State::kNeverStarted:
       this->ConfirmNeverStarted(tracked, event.incarnation);
@@ -41,12 +41,12 @@
       this->OnStillRunning(tracked);
       return;
     case TaskQueried::State::kUnreachable:
-      this->OnNotReachable(tracked);
+      this->OnWorkerNotReachable(tracked);
       return;
   }
 }
 
-void TaskTracker::AskMissing(const WorkerReport& report) {
+void TaskTracker::QueryMissingTasks(const WorkerReport& report) {
   std::set<TaskId> running;
   for (const RunningTask& each : report.running) {
     running.insert(each.task);
@@ -57,8 +57,8 @@
         tracked->phase == Phase::kRunning && !running.contains(task);
     // The report may be older than the start, or the end may have been dropped
     // from the worker's bounded list: only a question tells.
-    if (missing && !tracked->asking) {
-      this->Ask(tracked);
+    if (missing && !tracked->query_pending) {
+      this->QueryWorker(tracked);
     }
   }
 }
@@ -77,18 +77,18 @@
   }
 }
 
-void TaskTracker::Ask(Tracked* tracked) {
-  if (tracked->asking) {
+void TaskTracker::QueryWorker(Tracked* tracked) {
+  if (tracked->query_pending) {
     return;
   }
   const std::string address =
       this->parts->workers.AddressOf(tracked->plan.worker);
-  this->CheckAfter(tracked, kReportTimeout);
+  this->ScheduleCheck(tracked, kReportTimeout);
   if (address.empty()) {
-    this->OnNotReachable(tracked);
+    this->OnWorkerNotReachable(tracked);
     return;
   }
-  tracked->asking = true;
+  tracked->query_pending = true;
   QueryTask query;
   query.worker = tracked->plan.worker;
   query.address = address;
@@ -119,7 +119,7 @@
     return;
   }
   tracked->confirmations = kConfirmingRenewals;
-  this->CheckAfter(tracked, kStopTimeout);
+  this->ScheduleCheck(tracked, kStopTimeout);
   for (std::int32_t i = 0; i < kConfirmingRenewals; ++i) {
     this->parts->workers.RenewNow(plan.worker, *owned);
   }
@@ -134,7 +134,7 @@
   const bool owned =
       this->parts->ownership.Held(tracked->plan.worker).has_value();
   if (tracked->plan.detached && owned) {
-    this->CheckAfter(tracked, kDetachedPollInterval);
+    this->ScheduleCheck(tracked, kDetachedPollInterval);
     return;
   }
   if (tracked->uncertain && !tracked->plan.detached) {
@@ -142,11 +142,11 @@
   }
   tracked->delay =
       std::clamp(2 * tracked->delay, kInitialPollDelay, kMaxPollDelay);
-  this->CheckAfter(tracked, tracked->delay);
+  this->ScheduleCheck(tracked, tracked->delay);
 }
 
-void TaskTracker::OnNotReachable(Tracked* tracked) {
-  if (this->SurelyOver(*tracked)) {
+void TaskTracker::OnWorkerNotReachable(Tracked* tracked) {
+  if (this->HasCertainlyEnded(*tracked)) {
     this->Settle(tracked->plan.task, TaskUpdate::Kind::kLost, {},
                  Error::kWorkerLost);
     return;
@@ -155,18 +155,18 @@
   this->updates.back().unreachable = true;
   tracked->delay =
       std::clamp(2 * tracked->delay, kInitialPollDelay, kMaxPollDelay);
-  this->CheckAfter(tracked, tracked->delay);
+  this->ScheduleCheck(tracked, tracked->delay);
 }
 
-bool TaskTracker::SurelyOver(const Tracked& tracked) {
+bool TaskTracker::HasCertainlyEnded(const Tracked& tracked) {
   const Instant now = this->parts->context.now;
   const Duration lease = this->parts->context.options.task_lease + kLeaseMargin;
   // Whoever renews its lease, the worker ends it at its time limit.
   if (now >= tracked.since + tracked.plan.max_run + lease &&
-      now >= this->LapseOf(tracked)) {
+      now >= this->LeaseExpiry(tracked)) {
     return true;
   }
-  if (now < this->LapseOf(tracked)) {
+  if (now < this->LeaseExpiry(tracked)) {
     return false;
   }
   const auto terms =
@@ -181,7 +181,7 @@
   return consent != Instant::max() && now >= consent + lease;
 }
 
-Instant TaskTracker::LapseOf(const Tracked& tracked) const {
+Instant TaskTracker::LeaseExpiry(const Tracked& tracked) const {
   const WorkerId& worker = tracked.plan.worker;
   const CoreOptions& options = this->parts->context.options;
   Instant last = tracked.since;
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -41,7 +41,7 @@
   tracked->placed = placed;
   tracked->phase = Phase::kSent;
   tracked->uncertain = true;
-  this->Ask(tracked);
+  this->QueryWorker(tracked);
 }
 
 void TaskTracker::Send(const TaskId& task, Body body, Duration timeout) {
@@ -79,7 +79,7 @@
   this->parts->ownership.OnStartSent(now, plan.worker);
   tracked->phase = Phase::kSent;
   tracked->since = now;
-  this->CheckAfter(tracked, timeout + kReportTimeout);
+  this->ScheduleCheck(tracked, timeout + kReportTimeout);
 }
 
 void TaskTracker::Withdraw(const TaskId& task) {
@@ -119,7 +119,7 @@
 void TaskTracker::SendStop(Tracked* tracked) {
   const std::optional<OwnedWorker> owned =
       this->parts->ownership.Held(tracked->plan.worker);
-  this->CheckAfter(tracked, kStopTimeout);
+  this->ScheduleCheck(tracked, kStopTimeout);
   if (!owned) {
     this->StopAtOwner(*tracked);
     return;
@@ -178,7 +178,7 @@
     return;
   }
   tracked->uncertain = true;
-  this->Ask(tracked);
+  this->QueryWorker(tracked);
 }
 
 void TaskTracker::On(const TaskStopAnswered& event) {
@@ -189,7 +189,7 @@
   if (!event.stopped) {
     // A stop can overtake the start it belongs to. Only a question settles
     // that: from then on the worker refuses the late start.
-    this->Ask(tracked);
+    this->QueryWorker(tracked);
     return;
   }
   EndedTask ended;
@@ -213,7 +213,7 @@
       this->OnReportedRunning(tracked);
     }
   }
-  this->AskMissing(report);
+  this->QueryMissingTasks(report);
   this->CountConfirmations(report);
 }
 
@@ -238,7 +238,7 @@
     Tracked* tracked = this->Find(task);
     // Its end will not come with a renewal any more.
     if (tracked->phase == Phase::kRunning && tracked->plan.detached) {
-      this->CheckAfter(tracked, kInitialPollDelay);
+      this->ScheduleCheck(tracked, kInitialPollDelay);
     }
   }
 }
@@ -251,8 +251,8 @@
   for (const TaskId& task : this->checks.TakeDue(this->parts->context.now)) {
     Tracked* tracked = this->Find(task);
     if (tracked != nullptr) {
-      tracked->asking = false;
-      this->Ask(tracked);
+      tracked->query_pending = false;
+      this->QueryWorker(tracked);
     }
   }
 }
@@ -261,7 +261,7 @@
   return std::exchange(this->updates, {});
 }
 
-void TaskTracker::CheckAfter(Tracked* tracked, Duration delay) {
+void TaskTracker::ScheduleCheck(Tracked* tracked, Duration delay) {
   this->checks.Set(tracked->plan.task, this->parts->context.now + delay);
 }
 
@@ -273,7 +273,7 @@
   tracked->phase = Phase::kRunning;
   this->Report(*tracked, TaskUpdate::Kind::kStarted);
   if (tracked->plan.detached) {
-    this->CheckAfter(tracked, kDetachedPollInterval);
+    this->ScheduleCheck(tracked, kDetachedPollInterval);
   }
 }
 
@@ -322,10 +322,10 @@
   }
   this->checks.Clear(id);
   this->parts->consent.Forget(plan.request);
-  this->Remember(id);
+  this->RecordRecent(id);
 }
 
-void TaskTracker::Remember(const TaskId& task) {
+void TaskTracker::RecordRecent(const TaskId& task) {
   if (!this->recent.insert(task).second) {
     return;
   }
--- a/packages/core/src/lifecycle/task_tracker.h
+++ b/packages/core/src/lifecycle/task_tracker.h
@@ -104,7 +104,7 @@
   /// @return what became known since the last call, in order
   [[nodiscard]] std::vector<TaskUpdate> TakeUpdates();
   [[nodiscard]] Instant NextWakeup() const { return this->checks.Next(); }
-  [[nodiscard]] bool Knows(const TaskId& task) const {
+  [[nodiscard]] bool IsTracked(const TaskId& task) const {
     return this->tasks.contains(task);
   }
   /// @return true if the task ended so recently that a report on its way may
@@ -128,7 +128,7 @@
     bool disowned = false;
     /// No answer will come by itself; only asking helps.
     bool uncertain = false;
-    bool asking = false;
+    bool query_pending = false;
     bool stop_wanted = false;
     bool stop_sent = false;
     bool checkpoint = false;
@@ -139,25 +139,25 @@
   };
 
   Tracked* Find(const TaskId& task);
-  void Ask(Tracked* tracked);
-  void CheckAfter(Tracked* tracked, Duration delay);
+  void QueryWorker(Tracked* tracked);
+  void ScheduleCheck(Tracked* tracked, Duration delay);
   void SendStop(Tracked* tracked);
   void StopAtOwner(const Tracked& tracked);
   void ConfirmNeverStarted(Tracked* tracked, Incarnation answered_by);
   void OnStillRunning(Tracked* tracked);
-  void OnNotReachable(Tracked* tracked);
+  void OnWorkerNotReachable(Tracked* tracked);
   void OnReportedRunning(Tracked* tracked);
-  void AskMissing(const WorkerReport& report);
+  void QueryMissingTasks(const WorkerReport& report);
   void CountConfirmations(const WorkerReport& report);
   /// @return true if the task does not run anywhere, though its worker can't be
   ///   asked
-  [[nodiscard]] bool SurelyOver(const Tracked& tracked);
+  [[nodiscard]] bool HasCertainlyEnded(const Tracked& tracked);
   /// @return when its lease has lapsed, unless somebody else renews it
-  [[nodiscard]] Instant LapseOf(const Tracked& tracked) const;
+  [[nodiscard]] Instant LeaseExpiry(const Tracked& tracked) const;
   void Report(const Tracked& tracked, TaskUpdate::Kind kind);
   void Settle(const TaskId& task, TaskUpdate::Kind kind, EndedTask ended = {},
               std::error_code reason = {});
-  void Remember(const TaskId& task);
+  void RecordRecent(const TaskId& task);
   [[nodiscard]] std::vector<TaskId> TasksAt(const WorkerId& worker) const;
 
   Parts* parts;
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -22,8 +22,8 @@
 }
 
 void WorkerFlow::On(const HostListArrived& event) {
-  const std::vector<WorkerId> staying = this->StayingAfterAll(event.workers);
-  this->Remember(event.workers);
+  const std::vector<WorkerId> staying = this->NoLongerLeaving(event.workers);
+  this->UpdateDirectory(event.workers);
   const std::vector<WorkerId> leaving = this->parts->ownership.OnHostList(
       event.workers, this->parts->context.options.self.data_center);
   for (const WorkerId& worker : leaving) {
@@ -40,7 +40,7 @@
   }
 }
 
-std::vector<WorkerId> WorkerFlow::StayingAfterAll(
+std::vector<WorkerId> WorkerFlow::NoLongerLeaving(
     const std::vector<WorkerDescription>& workers) const {
   std::vector<WorkerId> staying;
   for (const WorkerDescription& worker : workers) {
@@ -54,7 +54,8 @@
   return staying;
 }
 
-void WorkerFlow::Remember(const std::vector<WorkerDescription>& workers) {
+void WorkerFlow::UpdateDirectory(
+    const std::vector<WorkerDescription>& workers) {
   for (const WorkerDescription& worker : workers) {
     this->directory[worker.id] = worker;
   }
@@ -84,35 +85,36 @@
   this->parts->ledger.AddWorker(owned.description, report);
   this->open.insert(worker);
 
-  this->found.erase(worker);
-  this->CountFound(report);
+  this->foreign_tasks.erase(worker);
+  this->TrackForeignTasks(report);
   this->parts->health.Add(worker);
   this->ApplyStanding(worker);
   this->parts->context.Record(
       WorkerEvent(TimelineKind::kWorkerAttached, worker, owned.epoch));
 }
 
-void WorkerFlow::CountFound(const WorkerReport& report) {
+void WorkerFlow::TrackForeignTasks(const WorkerReport& report) {
   for (const RunningTask& task : report.running) {
     // A report that was made before the end of a task may arrive after it.
     const bool over = this->parts->tasks.EndedRecently(task.task);
-    if (this->parts->tasks.Knows(task.task) || over) {
+    if (this->parts->tasks.IsTracked(task.task) || over) {
       continue;
     }
-    const bool added =
-        this->found[report.worker].emplace(task.task, task.request).second;
+    const bool added = this->foreign_tasks[report.worker]
+                           .emplace(task.task, task.request)
+                           .second;
     if (added) {
       this->parts->scheduler.AdoptRunningTask(
           this->parts->context.now, task.task, task.request, task.service,
           this->parts->TeamOf(task.request), report.worker, task.running_for);
-      this->parts->orphan_gangs.OnFound(task.request, task.service);
+      this->parts->orphan_gangs.OnForeignTask(task.request, task.service);
     }
   }
 }
 
-void WorkerFlow::FreeVanished(const WorkerReport& report) {
-  const auto at = this->found.find(report.worker);
-  if (at == this->found.end()) {
+void WorkerFlow::FreeEndedForeignTasks(const WorkerReport& report) {
+  const auto at = this->foreign_tasks.find(report.worker);
+  if (at == this->foreign_tasks.end()) {
     return;
   }
   std::erase_if(at->second, [&](const auto& entry) {
@@ -141,8 +143,8 @@
   if (this->suspended.contains(report.worker)) {
     this->ApplyStanding(report.worker);
   }
-  this->FreeVanished(report);
-  this->CountFound(report);
+  this->FreeEndedForeignTasks(report);
+  this->TrackForeignTasks(report);
   std::vector<RunningTask> running = report.running;
   std::erase_if(running, [&](const RunningTask& task) {
     return this->parts->tasks.EndedRecently(task.task);
@@ -191,13 +193,13 @@
   this->parts->health.Remove(worker);
   this->capped.erase(worker);
   this->suspended.erase(worker);
-  const auto at = this->found.find(worker);
-  if (at != this->found.end()) {
+  const auto at = this->foreign_tasks.find(worker);
+  if (at != this->foreign_tasks.end()) {
     for (const auto& [task, request] : at->second) {
       this->parts->scheduler.TaskDone(this->parts->context.now,
                                       &this->parts->ledger, task, false);
     }
-    this->found.erase(at);
+    this->foreign_tasks.erase(at);
   }
   this->parts->tasks.OnWorkerLost(worker);
   this->parts->context.Record(WorkerEvent(TimelineKind::kWorkerLost, worker));
@@ -209,7 +211,7 @@
     const std::size_t first = context.actions->size();
     this->parts->ownership.Tick(context.now, this->parts->membership,
                                 context.actions);
-    this->NoteRenewals(first);
+    this->TrackLeaseActions(first);
   }
   const bool due = this->parts->health.NextWakeup() <= context.now;
   if (due || this->parts->placing.TakeHealthChanged()) {
@@ -220,7 +222,7 @@
   }
 }
 
-void WorkerFlow::NoteRenewals(std::size_t first_action) {
+void WorkerFlow::TrackLeaseActions(std::size_t first_action) {
   const Actions& actions = *this->parts->context.actions;
   for (std::size_t i = first_action; i < actions.size(); ++i) {
     const auto* renew = std::get_if<RenewWorker>(&actions[i]);
@@ -240,7 +242,7 @@
   const std::size_t first = this->parts->context.actions->size();
   this->parts->ownership.ReleaseAll(this->parts->context.now,
                                     this->parts->context.actions);
-  this->NoteRenewals(first);
+  this->TrackLeaseActions(first);
 }
 
 void WorkerFlow::RenewNow(const WorkerId& worker, const OwnedWorker& owned) {
@@ -260,14 +262,14 @@
 }
 
 bool WorkerFlow::RunsOrphanOf(const RequestId& request) const {
-  return std::ranges::any_of(this->found, [&](const auto& at) {
+  return std::ranges::any_of(this->foreign_tasks, [&](const auto& at) {
     return std::ranges::any_of(
         at.second, [&](const auto& task) { return task.second == request; });
   });
 }
 
 void WorkerFlow::StopOrphansOf(const RequestId& request) {
-  for (const auto& [worker, tasks] : this->found) {
+  for (const auto& [worker, tasks] : this->foreign_tasks) {
     const std::optional<OwnedWorker> owned =
         this->parts->ownership.Held(worker);
     for (const auto& [task, owner] : tasks) {
--- a/packages/core/src/lifecycle/worker_flow.h
+++ b/packages/core/src/lifecycle/worker_flow.h
@@ -60,21 +60,21 @@
  private:
   void Open(const OwnedWorker& owned, const WorkerReport& report);
   void Close(const WorkerId& worker);
-  void CountFound(const WorkerReport& report);
-  void FreeVanished(const WorkerReport& report);
+  void TrackForeignTasks(const WorkerReport& report);
+  void FreeEndedForeignTasks(const WorkerReport& report);
   /// @return workers that were leaving and are not called so any more
-  [[nodiscard]] std::vector<WorkerId> StayingAfterAll(
+  [[nodiscard]] std::vector<WorkerId> NoLongerLeaving(
       const std::vector<WorkerDescription>& workers) const;
-  void Remember(const std::vector<WorkerDescription>& workers);
+  void UpdateDirectory(const std::vector<WorkerDescription>& workers);
   void ApplyStanding(const WorkerId& worker);
-  void NoteRenewals(std::size_t first_action);
+  void TrackLeaseActions(std::size_t first_action);
 
   Parts* parts;
   /// Of all data centres, so that journals that name them can be followed up.
   std::map<WorkerId, WorkerDescription> directory;
   /// Tasks at owned workers that this process did not start, with what runs
   /// them.
-  std::map<WorkerId, std::map<TaskId, RequestId>> found;
+  std::map<WorkerId, std::map<TaskId, RequestId>> foreign_tasks;
   /// Workers that the ledger counts.
   std::set<WorkerId> open;
   std::set<WorkerId> ejected;
