--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -22,13 +22,13 @@
 
 BOOST_AUTO_TEST_CASE(deferred_work_is_accepted_started_and_finished) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("review");
+  const RequestId id = harness.SendRequest("review");
   BOOST_TEST(harness.Take<ReplyAccepted>().size() == 1U);
   const StartTask start = harness.TakeStart();
   BOOST_TEST(start.order.detached);
   harness.Send(TaskStarted{start.worker, start.order.task});
   BOOST_TEST((Ask(&harness, id).state == DeferredState::kRunning));
-  harness.End(start);
+  harness.EndTask(start);
   const DeferredStatus status = Ask(&harness, id);
   BOOST_TEST((status.state == DeferredState::kFinished));
   BOOST_TEST(View(status.result.body) == "answer");
@@ -38,7 +38,7 @@
 // was told "not recorded now" with a time to come back, and came back for ever.
 BOOST_AUTO_TEST_CASE(work_that_no_batch_can_hold_is_refused_for_good) {
   CoreHarness harness(1);
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.body = std::make_shared<const std::string>(1'000'000, 'x');
   harness.Send(RequestArrived{request});
   const Answer answer = harness.TakeReply().answer;
@@ -54,7 +54,7 @@
 BOOST_AUTO_TEST_CASE(nothing_is_accepted_or_started_before_it_is_durable) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const auto appends = harness.Take<AppendJournal>();
   BOOST_TEST_REQUIRE(appends.size() == 1U);
   BOOST_TEST(harness.Take<ReplyAccepted>().empty());
@@ -75,10 +75,10 @@
 BOOST_AUTO_TEST_CASE(an_accept_of_unknown_fate_is_not_called_not_run) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Advance(std::chrono::seconds(6));
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const Reply refused = harness.TakeReply();
   BOOST_TEST((refused.answer.outcome == Outcome::kNotRun));
   BOOST_TEST((refused.answer.error == Error::kJournalUnavailable));
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(a_start_is_not_sent_under_another_lease) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const JournalBatch accepted = harness.Take<AppendJournal>().front().batch;
   harness.Send(JournalAppended{accepted.journal, accepted.sequence});
   const JournalBatch started = harness.Take<AppendJournal>().front().batch;
@@ -111,7 +111,7 @@
 BOOST_AUTO_TEST_CASE(a_start_is_not_sent_to_a_host_that_began_to_leave) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const JournalBatch accepted = harness.Take<AppendJournal>().front().batch;
   harness.Send(JournalAppended{accepted.journal, accepted.sequence});
   const JournalBatch started = harness.Take<AppendJournal>().front().batch;
@@ -126,7 +126,7 @@
 BOOST_AUTO_TEST_CASE(a_fenced_journal_stops_its_deferred_work) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const JournalBatch first = harness.Take<AppendJournal>().front().batch;
   harness.Send(JournalAppended{first.journal, first.sequence});
   const JournalBatch started = harness.Take<AppendJournal>().front().batch;
@@ -145,7 +145,7 @@
 BOOST_AUTO_TEST_CASE(an_adopted_running_task_is_followed_to_its_end) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("letter");
+  Request request = harness.MakeRequest("letter");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   StartedRecord started;
@@ -191,7 +191,7 @@
 BOOST_AUTO_TEST_CASE(a_result_that_is_learnt_while_peers_are_asked_is_whole) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("letter");
+  Request request = harness.MakeRequest("letter");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   FinishedRecord finished;
@@ -222,7 +222,7 @@
 BOOST_AUTO_TEST_CASE(work_adopted_while_peers_are_asked_is_cancelled_here) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("letter");
+  Request request = harness.MakeRequest("letter");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(QueryArrived{9, request.id, false, true, false});
@@ -246,7 +246,7 @@
   CoreHarness harness(1);
   harness.journal_answers = false;
   const JournalId journal("p2.b2");
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(JournalsListed{{journal}});
@@ -266,7 +266,7 @@
 // One task of a deferred gang is refused. The other must not run on alone.
 BOOST_AUTO_TEST_CASE(a_half_started_deferred_gang_is_stopped) {
   CoreHarness harness(2);
-  harness.Arrive("means");
+  harness.SendRequest("means");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   harness.Send(TaskStarted{starts[0].worker, starts[0].order.task});
@@ -284,9 +284,9 @@
 BOOST_AUTO_TEST_CASE(a_queued_cancellation_says_that_it_did_not_run) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  const RequestId id = harness.Arrive("review");
+  const RequestId id = harness.SendRequest("review");
   harness.Send(QueryArrived{3, id, false, true, false});
   const auto answers = harness.Take<AnswerQuery>();
   BOOST_TEST_REQUIRE(answers.size() == 1U);
@@ -297,7 +297,7 @@
 // Guards against work that goes on taking down each worker that starts it.
 BOOST_AUTO_TEST_CASE(work_under_which_workers_are_lost_is_given_up) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("review");
+  const RequestId id = harness.SendRequest("review");
   constexpr int kMostStarts = 8;
   int starts = 0;
   for (int i = 0; i < kMostStarts; ++i) {
@@ -305,9 +305,9 @@
       ++starts;
       harness.Send(TaskStarted{start.worker, start.order.task});
     }
-    harness.silent.insert(WorkerId("w1"));
+    harness.silent_workers.insert(WorkerId("w1"));
     harness.Advance(std::chrono::seconds(30));
-    harness.silent.clear();
+    harness.silent_workers.clear();
     ++harness.worker_incarnation;
     harness.Advance(std::chrono::seconds(30));
   }
--- a/packages/core/tests/core_forward_test.cc
+++ b/packages/core/tests/core_forward_test.cc
@@ -20,8 +20,8 @@
 
 BOOST_AUTO_TEST_CASE(a_process_without_workers_forwards) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
-  const RequestId id = harness.Arrive("booking");
+  harness.AddPeerWithRoom("p2", "dc1");
+  const RequestId id = harness.SendRequest("booking");
   const ForwardRequest forward = TakeForward(&harness);
   BOOST_TEST(forward.peer == ProcessId("p2"));
   BOOST_TEST(forward.request.hops == 1);
@@ -38,9 +38,9 @@
 // digest. Regression of "this entry process owns no worker".
 BOOST_AUTO_TEST_CASE(a_process_without_workers_forwards_past_the_digest) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
+  harness.AddPeerWithRoom("p2", "dc1");
   constexpr std::size_t kMany = 500;
-  for (std::size_t i = 0; i < kMany; ++i) (void)harness.Arrive("booking");
+  for (std::size_t i = 0; i < kMany; ++i) (void)harness.SendRequest("booking");
   BOOST_TEST(harness.Take<ForwardRequest>().size() == kMany);
   BOOST_TEST(harness.Take<Reply>().empty());
 }
@@ -51,8 +51,8 @@
 // until the peer answers.
 BOOST_AUTO_TEST_CASE(a_cancellation_is_said_again_until_the_peer_answers) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
-  const RequestId id = harness.Arrive("screen");
+  harness.AddPeerWithRoom("p2", "dc1");
+  const RequestId id = harness.SendRequest("screen");
   const ForwardRequest forward = TakeForward(&harness);
   harness.Send(CancelRequested{id});
   BOOST_TEST(harness.Take<ForwardCancel>().size() == 1U);
@@ -75,9 +75,9 @@
 // process: it goes to a peer of the other data centre instead.
 BOOST_AUTO_TEST_CASE(a_forward_that_was_not_sent_goes_to_another_peer) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
-  harness.PeerWithRoom("q1", "dc2");
-  const RequestId id = harness.Arrive("booking");
+  harness.AddPeerWithRoom("p2", "dc1");
+  harness.AddPeerWithRoom("q1", "dc2");
+  const RequestId id = harness.SendRequest("booking");
   const ForwardRequest forward = TakeForward(&harness);
   harness.Send(ForwardFailed{id, forward.peer, true});
   BOOST_TEST(TakeForward(&harness).peer == ProcessId("q1"));
@@ -87,9 +87,9 @@
 // told "unknown" at once, and no other process gets it.
 BOOST_AUTO_TEST_CASE(a_booking_lost_at_a_peer_is_answered_unknown_at_once) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
-  harness.PeerWithRoom("q1", "dc2");
-  const RequestId id = harness.Arrive("booking");
+  harness.AddPeerWithRoom("p2", "dc1");
+  harness.AddPeerWithRoom("q1", "dc2");
+  const RequestId id = harness.SendRequest("booking");
   const ForwardRequest forward = TakeForward(&harness);
   harness.Send(ForwardFailed{id, forward.peer, false});
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
@@ -100,9 +100,9 @@
 // that nothing runs lets the screen go to another peer.
 BOOST_AUTO_TEST_CASE(a_screen_lost_at_a_peer_is_recalled_before_it_moves) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
-  harness.PeerWithRoom("q1", "dc2");
-  const RequestId id = harness.Arrive("screen");
+  harness.AddPeerWithRoom("p2", "dc1");
+  harness.AddPeerWithRoom("q1", "dc2");
+  const RequestId id = harness.SendRequest("screen");
   const ForwardRequest forward = TakeForward(&harness);
   harness.Send(ForwardFailed{id, forward.peer, false});
   const auto asked = harness.Take<AskPeer>();
@@ -119,7 +119,7 @@
 // The other side of it: the peer stops the running task and then says so.
 BOOST_AUTO_TEST_CASE(a_recalled_request_is_stopped_before_the_answer) {
   CoreHarness harness(1);
-  Request request = harness.Make("screen");
+  Request request = harness.MakeRequest("screen");
   request.id = RequestId("p2.b2.1");
   request.origin = ProcessId("p2");
   request.hops = 1;
@@ -137,8 +137,8 @@
 
 BOOST_AUTO_TEST_CASE(a_forwarded_request_is_not_forwarded_inside_again) {
   CoreHarness harness(0);
-  harness.PeerWithRoom("p2", "dc1");
-  Request request = harness.Make("booking");
+  harness.AddPeerWithRoom("p2", "dc1");
+  Request request = harness.MakeRequest("booking");
   request.id = RequestId("p3.b2.1");
   request.origin = ProcessId("p2");
   request.hops = 1;
--- a/packages/core/tests/core_harness.cc
+++ b/packages/core/tests/core_harness.cc
@@ -49,13 +49,13 @@
 }  // namespace
 
 CoreHarness::CoreHarness(std::int32_t workers) : core(Options(workers)) {
-  this->Send(ConfigurationArrived{Cell()});
+  this->Send(ConfigurationArrived{CellConfiguration()});
   this->Advance(std::chrono::seconds(5));
   BOOST_TEST_REQUIRE(this->core.Status(this->now).owned_workers == workers);
   this->actions.clear();
 }
 
-Configuration CoreHarness::Cell() {
+Configuration CoreHarness::CellConfiguration() {
   Configuration cell;
   cell.version = 1;
   cell.default_team = TeamId("dlonie");
@@ -101,7 +101,7 @@
 bool CoreHarness::Answer(const Action& action) {
   if (const auto* attach = std::get_if<AttachWorker>(&action)) {
     this->epochs[attach->worker] = attach->epoch;
-    if (this->silent.contains(attach->worker)) {
+    if (this->silent_workers.contains(attach->worker)) {
       this->Send(WorkerUnreachable{attach->worker, attach->epoch});
       return true;
     }
@@ -111,7 +111,7 @@
     }
   }
   if (const auto* renew = std::get_if<RenewWorker>(&action)) {
-    if (this->silent.contains(renew->worker)) {
+    if (this->silent_workers.contains(renew->worker)) {
       this->Send(WorkerUnreachable{renew->worker, renew->epoch});
       return true;
     }
@@ -152,7 +152,7 @@
   }
 }
 
-Request CoreHarness::Make(const std::string& service) {
+Request CoreHarness::MakeRequest(const std::string& service) {
   Request request;
   request.id = RequestId("p1.a1." + std::to_string(++this->last_request));
   request.service = ServiceId(service);
@@ -161,9 +161,9 @@
   return request;
 }
 
-RequestId CoreHarness::Arrive(const std::string& service,
-                              const std::string& key) {
-  Request request = this->Make(service);
+RequestId CoreHarness::SendRequest(const std::string& service,
+                                   const std::string& key) {
+  Request request = this->MakeRequest(service);
   request.idempotency_key = key;
   RequestId id = request.id;
   this->Send(RequestArrived{std::move(request)});
@@ -182,8 +182,8 @@
   return replies.front();
 }
 
-void CoreHarness::End(const StartTask& start, std::int32_t status,
-                      TaskEnd end) {
+void CoreHarness::EndTask(const StartTask& start, std::int32_t status,
+                          TaskEnd end) {
   EndedTask ended;
   ended.task = start.order.task;
   ended.request = start.order.request;
@@ -193,8 +193,8 @@
   this->Send(TaskEnded{start.worker, ended});
 }
 
-void CoreHarness::PeerWithRoom(const std::string& peer,
-                               const std::string& data_center) {
+void CoreHarness::AddPeerWithRoom(const std::string& peer,
+                                  const std::string& data_center) {
   Digest digest;
   digest.process = ProcessId(peer);
   digest.incarnation = 0xb2;
--- a/packages/core/tests/core_harness.h
+++ b/packages/core/tests/core_harness.h
@@ -45,31 +45,32 @@
   }
 
   /// A request with the next id; the service names are those of `Cell`.
-  Request Make(const std::string& service);
+  Request MakeRequest(const std::string& service);
   /// Sends a request.
   /// @return its id
-  RequestId Arrive(const std::string& service, const std::string& key = "");
+  RequestId SendRequest(const std::string& service,
+                        const std::string& key = "");
   /// The start of a request's only task, which must have been sent.
   StartTask TakeStart();
   Reply TakeReply();
   /// Reports the end of a started task.
-  void End(const StartTask& start, std::int32_t status = 200,
-           TaskEnd end = TaskEnd::kFinished);
+  void EndTask(const StartTask& start, std::int32_t status = 200,
+               TaskEnd end = TaskEnd::kFinished);
   /// A live peer with room for anything.
-  void PeerWithRoom(const std::string& peer, const std::string& data_center);
+  void AddPeerWithRoom(const std::string& peer, const std::string& data_center);
 
   /// Services: `screen` (urgent, idempotent), `booking` (urgent,
   /// non-idempotent), `review` (deferred, idempotent), `letter` (deferred,
   /// non-idempotent), `rota` (gang of two), `means`
   /// (deferred gang of two).
-  static Configuration Cell();
+  static Configuration CellConfiguration();
 
   Core core;
   /// Workers and journal answer by themselves.
   bool workers_answer = true;
   bool journal_answers = true;
   /// Workers that do not answer.
-  std::set<WorkerId> silent;
+  std::set<WorkerId> silent_workers;
   /// What each worker says it runs.
   std::map<WorkerId, std::vector<RunningTask>> running;
   /// Epoch of the last attach to each worker.
--- a/packages/core/tests/core_key_test.cc
+++ b/packages/core/tests/core_key_test.cc
@@ -29,12 +29,12 @@
 
 BOOST_AUTO_TEST_CASE(nothing_starts_before_the_key_is_claimed) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("booking", "k1");
+  const RequestId id = harness.SendRequest("booking", "k1");
   const ClaimKey claim = TakeClaim(&harness);
   BOOST_TEST(claim.body_hash == detail::BodyHash("body"));
   BOOST_TEST(harness.Take<StartTask>().empty());
   harness.Send(KeyClaimed{id});
-  harness.End(harness.TakeStart());
+  harness.EndTask(harness.TakeStart());
   const auto settled = harness.Take<SettleKey>();
   BOOST_TEST_REQUIRE(settled.size() == 1U);
   BOOST_TEST(!settled.front().drop);
@@ -46,7 +46,7 @@
 // answer is the first thing it sees. The booking must not start now.
 BOOST_AUTO_TEST_CASE(a_claim_that_comes_after_the_deadline_starts_nothing) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("booking", "k1");
+  const RequestId id = harness.SendRequest("booking", "k1");
   (void)TakeClaim(&harness);
   harness.Pause(std::chrono::minutes(5));
   harness.Send(KeyClaimed{id});
@@ -76,7 +76,7 @@
 
 BOOST_AUTO_TEST_CASE(a_repeat_gets_the_first_answer) {
   CoreHarness harness(1);
-  harness.Arrive("booking", "k1");
+  harness.SendRequest("booking", "k1");
   KeyTaken taken = TakenBy(TakeClaim(&harness), "p2.b2.1");
   taken.claim.answer = Answer{};
   taken.claim.answer->outcome = Outcome::kCompleted;
@@ -89,7 +89,7 @@
 
 BOOST_AUTO_TEST_CASE(a_repeat_with_another_body_is_refused) {
   CoreHarness harness(1);
-  harness.Arrive("booking", "k1");
+  harness.SendRequest("booking", "k1");
   KeyTaken taken = TakenBy(TakeClaim(&harness), "p2.b2.1");
   taken.claim.body_hash += 1;
   harness.Send(taken);
@@ -100,8 +100,8 @@
 
 BOOST_AUTO_TEST_CASE(a_repeat_during_the_first_one_is_told_to_come_back) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("p2", "dc1");
-  harness.Arrive("booking", "k1");
+  harness.AddPeerWithRoom("p2", "dc1");
+  harness.SendRequest("booking", "k1");
   harness.Send(TakenBy(TakeClaim(&harness), "p2.b2.1"));
   const Reply reply = harness.TakeReply();
   BOOST_TEST(reply.answer.status == 409);
@@ -113,8 +113,8 @@
 // not run the booking again, and must not be told for ever to come back.
 BOOST_AUTO_TEST_CASE(a_repeat_after_its_holder_died_is_answered_unknown) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("p2", "dc1");
-  harness.Arrive("booking", "k1");
+  harness.AddPeerWithRoom("p2", "dc1");
+  harness.SendRequest("booking", "k1");
   harness.Send(TakenBy(TakeClaim(&harness), "p2.77.1"));
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
   BOOST_TEST(harness.Take<StartTask>().empty());
@@ -124,7 +124,7 @@
 // Once the platform is back the claim is dropped: a later repeat may run.
 BOOST_AUTO_TEST_CASE(a_claim_that_may_stand_is_dropped_later) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("booking", "k1");
+  const RequestId id = harness.SendRequest("booking", "k1");
   harness.Send(PlatformReachability{false});
   harness.Send(KeyUnavailable{id, true});
   const Reply reply = harness.TakeReply();
--- a/packages/core/tests/core_operations_test.cc
+++ b/packages/core/tests/core_operations_test.cc
@@ -13,10 +13,10 @@
 // must not take the change back.
 BOOST_AUTO_TEST_CASE(the_configuration_never_steps_back) {
   CoreHarness harness(1);
-  Configuration newer = CoreHarness::Cell();
+  Configuration newer = CoreHarness::CellConfiguration();
   newer.version = 3;
   harness.Send(ConfigurationArrived{newer});
-  Configuration older = CoreHarness::Cell();
+  Configuration older = CoreHarness::CellConfiguration();
   older.version = 2;
   harness.Send(ConfigurationArrived{older});
   BOOST_TEST(harness.core.ConfigurationInForce().version == 3U);
@@ -44,7 +44,7 @@
   list.workers[0].leaving = true;
   harness.Send(list);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("screen");
+    harness.SendRequest("screen");
     BOOST_TEST(harness.TakeStart().worker == WorkerId("w2"));
   }
 }
@@ -62,7 +62,7 @@
   harness.Send(HostListArrived{{worker}});
   harness.Advance(std::chrono::seconds(1));
   BOOST_TEST(harness.Take<ReleaseWorker>().empty());
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
@@ -70,20 +70,20 @@
 // is refused, the journal is handed over, and only then the worker is released.
 BOOST_AUTO_TEST_CASE(a_graceful_stop_cuts_nothing_off) {
   CoreHarness harness(1);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<StartTask>();
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask screen = harness.TakeStart();
   harness.Take<AppendJournal>();
   harness.Send(ShutdownRequested{});
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const Reply refused = harness.TakeReply();
   BOOST_TEST((refused.answer.error == Error::kShuttingDown));
   BOOST_TEST((refused.answer.outcome == Outcome::kNotRun));
   harness.Advance(std::chrono::seconds(2));
   BOOST_TEST(harness.Take<ReleaseWorker>().empty());
   BOOST_TEST(harness.Take<AppendJournal>().empty());
-  harness.End(screen);
+  harness.EndTask(screen);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kCompleted));
   harness.Advance(std::chrono::milliseconds(200));
   const auto appends = harness.Take<AppendJournal>();
--- a/packages/core/tests/core_recovery_test.cc
+++ b/packages/core/tests/core_recovery_test.cc
@@ -41,15 +41,15 @@
 BOOST_AUTO_TEST_CASE(a_worker_that_answers_again_takes_work) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
-  harness.silent.insert(worker);
+  harness.silent_workers.insert(worker);
   harness.Send(WorkerUnreachable{worker, harness.epochs[worker]});
   harness.Send(WorkerUnreachable{worker, harness.epochs[worker]});
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   BOOST_TEST(harness.Take<StartTask>().empty());
-  harness.silent.clear();
+  harness.silent_workers.clear();
   harness.Advance(std::chrono::seconds(12));
   harness.Take<StartTask>();
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
@@ -57,10 +57,10 @@
 // and not wait for another worker for ever.
 BOOST_AUTO_TEST_CASE(work_that_failed_on_the_only_worker_is_tried_again) {
   CoreHarness harness(1);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
   harness.Send(TaskStarted{first.worker, first.order.task});
-  harness.End(first, 500, TaskEnd::kFailed);
+  harness.EndTask(first, 500, TaskEnd::kFailed);
   harness.Advance(std::chrono::seconds(8));
   const auto again = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(again.size() == 1U);
@@ -74,20 +74,20 @@
 BOOST_AUTO_TEST_CASE(work_recorded_after_the_hand_over_is_left_to_the_adopter) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<AppendJournal>();
   harness.Take<ReplyAccepted>();
   harness.journal_answers = false;
-  const RequestId late = harness.Arrive("review");
+  const RequestId late = harness.SendRequest("review");
   const auto pending = harness.Take<AppendJournal>();
   BOOST_TEST_REQUIRE(pending.size() == 1U);
   harness.workers_answer = false;
   harness.Send(WorkerRefused{WorkerId("w1"), harness.epochs[WorkerId("w1")],
                              900, ProcessId("p2"), std::chrono::seconds(3)});
   for (int i = 0; i < 4; ++i) {
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     harness.Advance(std::chrono::seconds(1));
   }
   const JournalBatch& accepted = pending.front().batch;
@@ -111,9 +111,9 @@
 BOOST_AUTO_TEST_CASE(work_of_a_process_without_workers_is_handed_over) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<AppendJournal>();
   harness.workers_answer = false;
   harness.Send(WorkerRefused{WorkerId("w1"), harness.epochs[WorkerId("w1")],
@@ -121,7 +121,7 @@
                              std::chrono::hours(1)});
   bool handed_over = false;
   for (int i = 0; i < 10; ++i) {
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     harness.Advance(std::chrono::seconds(1));
     for (const AppendJournal& append : harness.Take<AppendJournal>()) {
       handed_over = handed_over || std::holds_alternative<HandedOverRecord>(
@@ -151,7 +151,7 @@
 // it.
 BOOST_AUTO_TEST_CASE(a_half_started_gang_of_a_dead_process_is_stopped) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("q1", "dc2");
+  harness.AddPeerWithRoom("q1", "dc2");
   RunningTask half;
   half.task = TaskId("p2.b2.1/0/1001");
   half.request = RequestId("p2.b2.1");
@@ -174,7 +174,7 @@
 // timeout and stops nothing: the half rota then held its worker to the end.
 BOOST_AUTO_TEST_CASE(a_half_gang_is_stopped_once_nobody_follows_it_any_more) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("p2", "dc1");
+  harness.AddPeerWithRoom("p2", "dc1");
   RunningTask half;
   half.task = TaskId("p2.b2.1/0/1");
   half.request = RequestId("p2.b2.1");
@@ -188,7 +188,7 @@
   std::size_t told = 0;
   for (int i = 0; i < 12; ++i) {
     harness.Advance(std::chrono::seconds(1));
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     for (const AskPeer& ask : harness.Take<AskPeer>()) {
       harness.Send(QueryAnswered{ask.query, waiting});
       ++told;
@@ -198,7 +198,7 @@
   BOOST_TEST(harness.Take<StopTask>().empty());
   for (int i = 0; i < 12; ++i) {
     harness.Advance(std::chrono::seconds(1));
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     for (const AskPeer& ask : harness.Take<AskPeer>()) {
       harness.Send(QueryAnswered{ask.query, std::nullopt});
     }
@@ -213,9 +213,9 @@
 // only the length of a task lease has passed.
 BOOST_AUTO_TEST_CASE(an_unread_start_is_waited_for_longer_than_a_lease) {
   CoreHarness harness(2);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
-  harness.silent.insert(first.worker);
+  harness.silent_workers.insert(first.worker);
   harness.Send(TaskUncertain{first.worker, first.order.task, {}});
   for (int i = 0; i < 50; ++i) {
     AnswerQueries(&harness, TaskQueried::State::kUnreachable);
@@ -236,7 +236,7 @@
 // "not run", nor the booking be sent again.
 BOOST_AUTO_TEST_CASE(a_restarted_worker_is_no_witness_that_nothing_ran) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
   harness.Send(TaskUncertain{first.worker, first.order.task, {}});
   harness.worker_incarnation += 1;
@@ -249,7 +249,7 @@
 // accepts after the question show that it has not restarted.
 BOOST_AUTO_TEST_CASE(never_started_is_confirmed_by_renewals) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
   harness.Send(TaskUncertain{first.worker, first.order.task, {}});
   harness.workers_answer = false;
@@ -276,10 +276,10 @@
 // reports failure. The caller still has time, so it is tried elsewhere.
 BOOST_AUTO_TEST_CASE(a_failure_after_a_long_run_is_still_tried_again) {
   CoreHarness harness(2);
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask first = harness.TakeStart();
   harness.Advance(std::chrono::seconds(3));
-  harness.End(first, 500, TaskEnd::kFailed);
+  harness.EndTask(first, 500, TaskEnd::kFailed);
   const StartTask second = harness.TakeStart();
   BOOST_TEST(second.worker != first.worker);
 }
@@ -289,10 +289,10 @@
 // it, and every peer has answered, may the review start elsewhere.
 BOOST_AUTO_TEST_CASE(a_review_that_a_peer_keeps_alive_is_not_run_again) {
   CoreHarness harness(2);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
   harness.Send(TaskStarted{first.worker, first.order.task});
-  harness.silent.insert(first.worker);
+  harness.silent_workers.insert(first.worker);
   for (const std::optional<bool> left :
        {std::optional<bool>(), std::optional<bool>(true)}) {
     for (int i = 0; i < 25; ++i) {
@@ -337,12 +337,12 @@
 // has gone. Half an answer must not be passed off as the whole one.
 BOOST_AUTO_TEST_CASE(a_gang_with_a_stopped_task_has_no_whole_answer) {
   CoreHarness harness(2);
-  const RequestId id = harness.Arrive("rota");
+  const RequestId id = harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   harness.Send(CancelRequested{id});
-  harness.End(starts[0], 0, TaskEnd::kStopped);
-  harness.End(starts[1], 500, TaskEnd::kFailed);
+  harness.EndTask(starts[0], 0, TaskEnd::kStopped);
+  harness.EndTask(starts[1], 500, TaskEnd::kFailed);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
 }
 
@@ -352,7 +352,7 @@
 BOOST_AUTO_TEST_CASE(an_adopter_uses_task_ids_of_its_own) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(JournalsListed{{journal}});
@@ -381,7 +381,7 @@
   harness.Send(WorkerRefused{worker, harness.epochs[worker], 0, {}, {}});
   harness.Advance(std::chrono::seconds(2));
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
   BOOST_TEST(harness.Take<StartTask>().size() == 6U);
   found.clear();
@@ -395,8 +395,8 @@
 // end.
 BOOST_AUTO_TEST_CASE(a_stop_at_a_worker_that_was_taken_over_goes_to_its_owner) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("p2", "dc1");
-  const RequestId id = harness.Arrive("screen");
+  harness.AddPeerWithRoom("p2", "dc1");
+  const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Send(TaskStarted{start.worker, start.order.task});
   harness.workers_answer = false;
@@ -434,7 +434,7 @@
   std::vector<JournalRecord> records;
   std::vector<EndedTask> ended;
   for (const char* name : {"p2.b2.1", "p2.b2.2"}) {
-    Request request = harness.Make("review");
+    Request request = harness.MakeRequest("review");
     request.id = RequestId(name);
     request.team = TeamId("dlonie");
     const TaskId task(std::string(name) + "/0/1");
@@ -464,7 +464,7 @@
   harness.ended[worker] = ended;
   harness.Advance(std::chrono::seconds(12));
   for (int i = 0; i < 16; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
   BOOST_TEST(harness.Take<StartTask>().size() == 16U);
 }
@@ -475,7 +475,7 @@
 // scheduler counted for it stayed for good.
 BOOST_AUTO_TEST_CASE(work_that_comes_back_to_its_process_is_counted_once) {
   CoreHarness harness(1);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask start = harness.TakeStart();
   harness.Send(TaskStarted{start.worker, start.order.task});
   const auto appends = harness.Take<AppendJournal>();
@@ -491,7 +491,7 @@
       journal, {appends[0].batch, appends[1].batch, adopted, back}});
   BOOST_TEST_REQUIRE(harness.core.Status(harness.Now()).deferred == 1);
   AnswerQueries(&harness, TaskQueried::State::kRunning);
-  harness.End(start);
+  harness.EndTask(start);
   BOOST_TEST(harness.core.Status(harness.Now()).deferred == 0);
   BOOST_TEST(harness.core.Status(harness.Now()).running == 0);
   BOOST_TEST(harness.core.Status(harness.Now()).free.slots == 8);
@@ -505,13 +505,13 @@
 BOOST_AUTO_TEST_CASE(a_journal_given_on_before_its_adoption_is_not_taken_up) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<AppendJournal>();
   harness.journal_answers = false;
   const JournalId journal("p2.b2");
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(JournalsListed{{journal}});
@@ -524,7 +524,7 @@
   harness.Send(WorkerRefused{WorkerId("w1"), harness.epochs[WorkerId("w1")],
                              900, ProcessId("p2"), std::chrono::hours(1)});
   for (int i = 0; i < 4; ++i) {
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     harness.Advance(std::chrono::seconds(1));
   }
   harness.Take<AppendJournal>();
@@ -545,7 +545,7 @@
 // that it refuses the start from then on.
 BOOST_AUTO_TEST_CASE(a_stop_that_overtakes_its_start_is_followed_up) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("screen");
+  const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Send(CancelRequested{id});
   harness.Send(TaskStopAnswered{start.worker, start.order.task, false});
@@ -559,11 +559,11 @@
 // caller must not be told "not run".
 BOOST_AUTO_TEST_CASE(a_request_that_ran_is_never_called_not_run) {
   CoreHarness harness(1);
-  harness.Arrive("screen");
-  harness.End(harness.TakeStart(), 500, TaskEnd::kFailed);
+  harness.SendRequest("screen");
+  harness.EndTask(harness.TakeStart(), 500, TaskEnd::kFailed);
   harness.Advance(std::chrono::seconds(3));
   for (const StartTask& start : harness.Take<StartTask>()) {
-    harness.End(start, 500, TaskEnd::kFailed);
+    harness.EndTask(start, 500, TaskEnd::kFailed);
   }
   harness.Advance(std::chrono::seconds(10));
   const Reply reply = harness.TakeReply();
--- a/packages/core/tests/core_request_test.cc
+++ b/packages/core/tests/core_request_test.cc
@@ -10,11 +10,11 @@
 
 BOOST_AUTO_TEST_CASE(an_urgent_request_runs_and_its_answer_comes_back) {
   CoreHarness harness(2);
-  const RequestId id = harness.Arrive("screen");
+  const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   BOOST_TEST(start.order.request == id);
   BOOST_TEST(!start.order.detached);
-  harness.End(start);
+  harness.EndTask(start);
   const Reply reply = harness.TakeReply();
   BOOST_TEST(reply.request == id);
   BOOST_TEST((reply.answer.outcome == Outcome::kCompleted));
@@ -27,11 +27,11 @@
 
 BOOST_AUTO_TEST_CASE(a_duplicate_of_a_request_is_dropped) {
   CoreHarness harness(1);
-  const Request request = harness.Make("booking");
+  const Request request = harness.MakeRequest("booking");
   harness.Send(RequestArrived{request});
   harness.Send(RequestArrived{request});
   const StartTask start = harness.TakeStart();
-  harness.End(start);
+  harness.EndTask(start);
   harness.Send(RequestArrived{request});
   BOOST_TEST(harness.Take<StartTask>().empty());
   BOOST_TEST(harness.Take<Reply>().size() == 1U);
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_CASE(an_unknown_service_is_refused_at_once) {
   CoreHarness harness(1);
-  harness.Arrive("nothing");
+  harness.SendRequest("nothing");
   const Reply reply = harness.TakeReply();
   BOOST_TEST((reply.answer.outcome == Outcome::kNotRun));
   BOOST_TEST(reply.answer.status == 404);
@@ -50,20 +50,20 @@
 // answer of a second worker instead.
 BOOST_AUTO_TEST_CASE(a_failed_idempotent_task_is_tried_on_another_worker) {
   CoreHarness harness(2);
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask first = harness.TakeStart();
-  harness.End(first, 500, TaskEnd::kFailed);
+  harness.EndTask(first, 500, TaskEnd::kFailed);
   const StartTask second = harness.TakeStart();
   BOOST_TEST(second.worker != first.worker);
   BOOST_TEST(second.order.task != first.order.task);
-  harness.End(second);
+  harness.EndTask(second);
   BOOST_TEST(harness.TakeReply().answer.status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(a_failed_non_idempotent_task_is_answered_as_it_is) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
-  harness.End(harness.TakeStart(), 500, TaskEnd::kFailed);
+  harness.SendRequest("booking");
+  harness.EndTask(harness.TakeStart(), 500, TaskEnd::kFailed);
   const Reply reply = harness.TakeReply();
   BOOST_TEST((reply.answer.outcome == Outcome::kCompleted));
   BOOST_TEST(reply.answer.status == 500);
@@ -74,13 +74,13 @@
 // the answer of the other worker: the first one never ran it.
 BOOST_AUTO_TEST_CASE(a_start_that_was_never_sent_is_placed_again) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
   harness.Send(
       TaskNotStarted{first.worker, first.order.task, Error::kNoWorker});
   const StartTask second = harness.TakeStart();
   BOOST_TEST(second.worker != first.worker);
-  harness.End(second);
+  harness.EndTask(second);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kCompleted));
 }
 
@@ -88,7 +88,7 @@
 // still has it: the caller gets it whole, and nothing runs twice.
 BOOST_AUTO_TEST_CASE(a_lost_answer_is_fetched_by_task_id) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask start = harness.TakeStart();
   harness.Send(
       TaskUncertain{start.worker, start.order.task, Error::kAnswerIncomplete});
@@ -111,7 +111,7 @@
 // told "unknown" at once, and the booking is not sent again.
 BOOST_AUTO_TEST_CASE(an_uncertain_booking_is_answered_unknown_at_once) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask start = harness.TakeStart();
   harness.Send(
       TaskUncertain{start.worker, start.order.task, Error::kAnswerIncomplete});
@@ -130,7 +130,7 @@
 // task's lease has lapsed, or never.
 BOOST_AUTO_TEST_CASE(an_uncertain_screen_never_runs_in_two_places) {
   CoreHarness harness(2);
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Send(
       TaskUncertain{start.worker, start.order.task, Error::kAnswerIncomplete});
@@ -149,7 +149,7 @@
 
 BOOST_AUTO_TEST_CASE(a_timeout_is_answered_unknown_and_stops_the_task) {
   CoreHarness harness(1);
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Advance(std::chrono::seconds(10));
   const Reply reply = harness.TakeReply();
@@ -163,7 +163,7 @@
 BOOST_AUTO_TEST_CASE(a_request_that_can_not_be_placed_is_given_up_in_time) {
   CoreHarness harness(1);
   for (int i = 0; i < 9; ++i) {
-    harness.Arrive("screen");
+    harness.SendRequest("screen");
   }
   BOOST_TEST(harness.Take<StartTask>().size() == 8U);
   harness.Advance(std::chrono::milliseconds(2100));
@@ -174,16 +174,16 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_starts_whole_and_is_answered_when_all_ended) {
   CoreHarness harness(2);
-  harness.Arrive("rota");
+  harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   for (const StartTask& start : starts) {
     BOOST_TEST(start.order.detached);
     harness.Send(TaskStarted{start.worker, start.order.task});
   }
-  harness.End(starts[0]);
+  harness.EndTask(starts[0]);
   BOOST_TEST(harness.Take<Reply>().empty());
-  harness.End(starts[1], 207);
+  harness.EndTask(starts[1], 207);
   BOOST_TEST(harness.TakeReply().answer.status == 207);
 }
 
@@ -191,7 +191,7 @@
 // the gang starts whole, under new task ids.
 BOOST_AUTO_TEST_CASE(a_half_started_gang_is_stopped_and_started_again) {
   CoreHarness harness(2);
-  harness.Arrive("rota");
+  harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   harness.Send(TaskStarted{starts[0].worker, starts[0].order.task});
