--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -36,7 +36,7 @@
 
 // A caller hands in a review whose record can never fit into the journal. It
 // was told "not recorded now" with a time to come back, and came back for ever.
-BOOST_AUTO_TEST_CASE(work_that_no_batch_can_hold_is_refused_for_good) {
+BOOST_AUTO_TEST_CASE(work_too_large_for_a_batch_is_refused_permanently) {
   CoreHarness harness(1);
   Request request = harness.MakeRequest("review");
   request.body = std::make_shared<const std::string>(1'000'000, 'x');
@@ -72,7 +72,7 @@
 
 // The append was sent and the platform went away before it answered. The work
 // may be recorded, so the caller is told "unknown" and not "not run".
-BOOST_AUTO_TEST_CASE(an_accept_of_unknown_fate_is_not_called_not_run) {
+BOOST_AUTO_TEST_CASE(an_unconfirmed_accept_is_answered_unknown) {
   CoreHarness harness(1);
   harness.journal_answers = false;
   harness.SendRequest("review");
@@ -88,7 +88,7 @@
 // The worker's lease is lost and taken again while the *started* record is on
 // its way. The new report was made without this task, so its room may be taken:
 // it must be placed anew instead of being sent under the new lease.
-BOOST_AUTO_TEST_CASE(a_start_is_not_sent_under_another_lease) {
+BOOST_AUTO_TEST_CASE(a_start_is_not_sent_under_a_newer_lease) {
   CoreHarness harness(1);
   harness.journal_answers = false;
   harness.SendRequest("review");
@@ -108,7 +108,7 @@
 }
 
 // The host begins to leave while the *started* record is on its way.
-BOOST_AUTO_TEST_CASE(a_start_is_not_sent_to_a_host_that_began_to_leave) {
+BOOST_AUTO_TEST_CASE(a_start_is_not_sent_to_a_leaving_host) {
   CoreHarness harness(1);
   harness.journal_answers = false;
   harness.SendRequest("review");
@@ -188,7 +188,7 @@
 // still being asked, this process adopts that journal and reads the end there.
 // The caller then read "finished" with an empty body instead of the result,
 // since only the state was looked up once nobody else knew more.
-BOOST_AUTO_TEST_CASE(a_result_that_is_learnt_while_peers_are_asked_is_whole) {
+BOOST_AUTO_TEST_CASE(a_result_adopted_during_a_peer_query_is_returned_in_full) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
   Request request = harness.MakeRequest("letter");
@@ -219,7 +219,7 @@
 
 // The same, but a caller cancels: the work is adopted here while its former
 // holder is asked in vain. The caller was told a state, and the work ran on.
-BOOST_AUTO_TEST_CASE(work_adopted_while_peers_are_asked_is_cancelled_here) {
+BOOST_AUTO_TEST_CASE(work_adopted_during_a_peer_query_is_cancelled_here) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
   Request request = harness.MakeRequest("letter");
@@ -242,7 +242,7 @@
 
 // Two processes read the journal of a dead one. The one whose fence comes too
 // late must not have touched the work: no start, no question, no stop.
-BOOST_AUTO_TEST_CASE(nothing_adopted_is_touched_before_the_fence_is_durable) {
+BOOST_AUTO_TEST_CASE(adopted_work_is_not_acted_on_before_the_fence_is_durable) {
   CoreHarness harness(1);
   harness.journal_answers = false;
   const JournalId journal("p2.b2");
@@ -264,7 +264,7 @@
 }
 
 // One task of a deferred gang is refused. The other must not run on alone.
-BOOST_AUTO_TEST_CASE(a_half_started_deferred_gang_is_stopped) {
+BOOST_AUTO_TEST_CASE(a_partially_started_deferred_gang_is_stopped) {
   CoreHarness harness(2);
   harness.SendRequest("means");
   const auto starts = harness.Take<StartTask>();
@@ -281,7 +281,7 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_queued_cancellation_says_that_it_did_not_run) {
+BOOST_AUTO_TEST_CASE(cancelled_queued_work_is_reported_as_not_run) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
     harness.SendRequest("booking");
@@ -295,7 +295,7 @@
 }
 
 // Guards against work that goes on taking down each worker that starts it.
-BOOST_AUTO_TEST_CASE(work_under_which_workers_are_lost_is_given_up) {
+BOOST_AUTO_TEST_CASE(work_that_repeatedly_loses_its_worker_fails) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("review");
   constexpr int kMostStarts = 8;
--- a/packages/core/tests/core_forward_test.cc
+++ b/packages/core/tests/core_forward_test.cc
@@ -36,7 +36,7 @@
 // peer see screens refused while the workers idle: the peer had sent as many as
 // the owner's last digest showed room for, and refused all else until the next
 // digest. Regression of "this entry process owns no worker".
-BOOST_AUTO_TEST_CASE(a_process_without_workers_forwards_past_the_digest) {
+BOOST_AUTO_TEST_CASE(a_process_without_workers_forwards_beyond_the_digest) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
   constexpr std::size_t kMany = 500;
@@ -49,7 +49,7 @@
 // overtakes the screen on the way to the peer, which knows no such request yet.
 // The screen then ran to its end for nobody; so the cancellation is said again
 // until the peer answers.
-BOOST_AUTO_TEST_CASE(a_cancellation_is_said_again_until_the_peer_answers) {
+BOOST_AUTO_TEST_CASE(a_cancellation_is_repeated_until_the_peer_answers) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
   const RequestId id = harness.SendRequest("screen");
@@ -98,7 +98,8 @@
 
 // The same with a screen: the peer is told to stop it first, and only its word
 // that nothing runs lets the screen go to another peer.
-BOOST_AUTO_TEST_CASE(a_screen_lost_at_a_peer_is_recalled_before_it_moves) {
+BOOST_AUTO_TEST_CASE(
+    a_screen_lost_at_a_peer_is_recalled_before_it_is_placed_again) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
   harness.AddPeerWithRoom("q1", "dc2");
@@ -135,7 +136,8 @@
   BOOST_TEST(answers.front().status->ran);
 }
 
-BOOST_AUTO_TEST_CASE(a_forwarded_request_is_not_forwarded_inside_again) {
+BOOST_AUTO_TEST_CASE(
+    a_forwarded_request_is_not_forwarded_again_in_its_data_center) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
   Request request = harness.MakeRequest("booking");
--- a/packages/core/tests/core_key_test.cc
+++ b/packages/core/tests/core_key_test.cc
@@ -44,7 +44,7 @@
 // Story: an entry process is paused while a booking claims its key, and wakes
 // when its caller has long given up and perhaps asked another one. The claim's
 // answer is the first thing it sees. The booking must not start now.
-BOOST_AUTO_TEST_CASE(a_claim_that_comes_after_the_deadline_starts_nothing) {
+BOOST_AUTO_TEST_CASE(a_claim_granted_after_the_deadline_starts_nothing) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("booking", "k1");
   (void)TakeClaim(&harness);
@@ -98,7 +98,8 @@
   BOOST_TEST((reply.answer.error == Error::kKeyReused));
 }
 
-BOOST_AUTO_TEST_CASE(a_repeat_during_the_first_one_is_told_to_come_back) {
+BOOST_AUTO_TEST_CASE(
+    a_repeat_during_the_first_request_is_answered_with_retry_after) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("p2", "dc1");
   harness.SendRequest("booking", "k1");
@@ -122,7 +123,7 @@
 
 // The claim's reply was lost, so the claim may stand though nothing started.
 // Once the platform is back the claim is dropped: a later repeat may run.
-BOOST_AUTO_TEST_CASE(a_claim_that_may_stand_is_dropped_later) {
+BOOST_AUTO_TEST_CASE(a_possibly_granted_claim_is_dropped_later) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("booking", "k1");
   harness.Send(PlatformReachability{false});
--- a/packages/core/tests/core_operations_test.cc
+++ b/packages/core/tests/core_operations_test.cc
@@ -11,7 +11,7 @@
 
 // An operator's change is in force, and then an older document arrives late. It
 // must not take the change back.
-BOOST_AUTO_TEST_CASE(the_configuration_never_steps_back) {
+BOOST_AUTO_TEST_CASE(an_older_configuration_is_ignored) {
   CoreHarness harness(1);
   Configuration newer = CoreHarness::CellConfiguration();
   newer.version = 3;
@@ -52,7 +52,7 @@
 // The host list calls a worker leaving and, before that worker was empty and
 // released, live again. It must get work once more. Its lease never changed
 // hands, so nothing opened it again, and it idled while requests were refused.
-BOOST_AUTO_TEST_CASE(a_worker_that_does_not_leave_after_all_takes_work) {
+BOOST_AUTO_TEST_CASE(a_worker_that_is_no_longer_leaving_takes_work) {
   CoreHarness harness(1);
   WorkerDescription worker{WorkerId("w1"), "w1:80", DataCenterId("dc1"),
                            RackId("r1"), true};
@@ -68,7 +68,7 @@
 
 // A stop in good order: the screen in progress ends and is answered, a new one
 // is refused, the journal is handed over, and only then the worker is released.
-BOOST_AUTO_TEST_CASE(a_graceful_stop_cuts_nothing_off) {
+BOOST_AUTO_TEST_CASE(a_graceful_shutdown_completes_requests_in_progress) {
   CoreHarness harness(1);
   harness.SendRequest("review");
   harness.Take<StartTask>();
--- a/packages/core/tests/core_recovery_test.cc
+++ b/packages/core/tests/core_recovery_test.cc
@@ -38,7 +38,7 @@
 
 // A worker misses two renewals and then answers again. Work that waited for it
 // must be placed there; it used to stay closed for good.
-BOOST_AUTO_TEST_CASE(a_worker_that_answers_again_takes_work) {
+BOOST_AUTO_TEST_CASE(a_worker_that_becomes_reachable_again_takes_work) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
   harness.silent_workers.insert(worker);
@@ -71,7 +71,7 @@
 // review is on its way to the platform. The caller is told 202 once it is
 // there, and the adopter runs the review. The former process had taken it up as
 // well: it could never start it, and told whoever asked that it is queued.
-BOOST_AUTO_TEST_CASE(work_recorded_after_the_hand_over_is_left_to_the_adopter) {
+BOOST_AUTO_TEST_CASE(work_recorded_after_the_handover_is_left_to_the_adopter) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
     harness.SendRequest("booking");
@@ -149,7 +149,7 @@
 // A process died after it had started one of two tasks of a gang. The next
 // owner of the worker finds the task, learns that nobody follows it, and stops
 // it.
-BOOST_AUTO_TEST_CASE(a_half_started_gang_of_a_dead_process_is_stopped) {
+BOOST_AUTO_TEST_CASE(a_partially_started_gang_of_a_dead_process_is_stopped) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("q1", "dc2");
   RunningTask half;
@@ -172,7 +172,7 @@
 // tasks. The next owner of the worker asks around, and the forwarding process
 // still waits for the answer, so it says "running". It gives up at its caller's
 // timeout and stops nothing: the half rota then held its worker to the end.
-BOOST_AUTO_TEST_CASE(a_half_gang_is_stopped_once_nobody_follows_it_any_more) {
+BOOST_AUTO_TEST_CASE(a_partial_gang_is_stopped_once_no_process_tracks_it) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("p2", "dc1");
   RunningTask half;
@@ -211,7 +211,7 @@
 // A review was sent to a worker that froze before it read the order, and would
 // run it as soon as it goes on. The review must not be started elsewhere when
 // only the length of a task lease has passed.
-BOOST_AUTO_TEST_CASE(an_unread_start_is_waited_for_longer_than_a_lease) {
+BOOST_AUTO_TEST_CASE(an_unconfirmed_start_outlasts_a_task_lease) {
   CoreHarness harness(2);
   harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
@@ -234,7 +234,7 @@
 // A worker runs a booking, dies and is started again. Asked for the booking, it
 // says "never started", because it has forgotten. The caller must not be told
 // "not run", nor the booking be sent again.
-BOOST_AUTO_TEST_CASE(a_restarted_worker_is_no_witness_that_nothing_ran) {
+BOOST_AUTO_TEST_CASE(never_started_from_a_restarted_worker_is_not_trusted) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
@@ -287,7 +287,7 @@
 // A review runs at a worker that this process lost sight of. A peer reaches it,
 // owns it and renews the review's lease there. Only when the peer has stopped
 // it, and every peer has answered, may the review start elsewhere.
-BOOST_AUTO_TEST_CASE(a_review_that_a_peer_keeps_alive_is_not_run_again) {
+BOOST_AUTO_TEST_CASE(a_review_whose_lease_a_peer_renews_is_not_started_again) {
   CoreHarness harness(2);
   harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
@@ -335,7 +335,7 @@
 
 // A task of a gang fails by itself and the other is stopped, since its caller
 // has gone. Half an answer must not be passed off as the whole one.
-BOOST_AUTO_TEST_CASE(a_gang_with_a_stopped_task_has_no_whole_answer) {
+BOOST_AUTO_TEST_CASE(a_gang_with_a_stopped_task_is_not_answered_as_complete) {
   CoreHarness harness(2);
   const RequestId id = harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
@@ -349,7 +349,7 @@
 // The former holder of a journal had planned a second attempt when it was
 // fenced off, and frees its room when it learns of that. The adopter's task
 // must not bear the same id, or its room would be freed while it runs.
-BOOST_AUTO_TEST_CASE(an_adopter_uses_task_ids_of_its_own) {
+BOOST_AUTO_TEST_CASE(an_adopter_uses_distinct_task_ids) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
   Request request = harness.MakeRequest("review");
@@ -366,7 +366,7 @@
 
 // A worker is taken over with tasks of its former owner. They count against its
 // room until they have ended, or it would be given more than it has.
-BOOST_AUTO_TEST_CASE(tasks_found_at_a_takeover_keep_their_room) {
+BOOST_AUTO_TEST_CASE(tasks_found_at_a_takeover_keep_their_resources) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
   std::vector<RunningTask>& found = harness.running[worker];
@@ -425,7 +425,7 @@
 // follows the reviews, and takes their worker over a moment later. When they
 // have ended, their room must be free again. It stayed taken for as long as the
 // peer held the worker, and other work waited beside an idle worker for ever.
-BOOST_AUTO_TEST_CASE(tasks_followed_before_a_takeover_give_their_room_back) {
+BOOST_AUTO_TEST_CASE(tasks_tracked_before_a_takeover_free_their_resources) {
   CoreHarness harness(2);
   const WorkerId worker("w2");
   harness.workers_answer = false;
@@ -473,7 +473,7 @@
 // the journal back while the review still runs. When it has ended nothing may
 // count as running any more. The task was followed anew then, and what the
 // scheduler counted for it stayed for good.
-BOOST_AUTO_TEST_CASE(work_that_comes_back_to_its_process_is_counted_once) {
+BOOST_AUTO_TEST_CASE(work_adopted_back_by_its_process_is_counted_once) {
   CoreHarness harness(1);
   harness.SendRequest("review");
   const StartTask start = harness.TakeStart();
@@ -502,7 +502,7 @@
 // handed all journals on. It took the adopted work up all the same, could never
 // record its end, and told whoever asked that the work runs, long after the
 // next adopter had finished it.
-BOOST_AUTO_TEST_CASE(a_journal_given_on_before_its_adoption_is_not_taken_up) {
+BOOST_AUTO_TEST_CASE(a_journal_handed_over_before_its_adoption_is_not_resumed) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
     harness.SendRequest("booking");
@@ -557,7 +557,7 @@
 
 // A screen ran and failed, and is given up while it waits for another try. The
 // caller must not be told "not run".
-BOOST_AUTO_TEST_CASE(a_request_that_ran_is_never_called_not_run) {
+BOOST_AUTO_TEST_CASE(a_request_that_ran_is_never_answered_not_run) {
   CoreHarness harness(1);
   harness.SendRequest("screen");
   harness.EndTask(harness.TakeStart(), 500, TaskEnd::kFailed);
--- a/packages/core/tests/core_request_test.cc
+++ b/packages/core/tests/core_request_test.cc
@@ -60,7 +60,7 @@
   BOOST_TEST(harness.TakeReply().answer.status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_failed_non_idempotent_task_is_answered_as_it_is) {
+BOOST_AUTO_TEST_CASE(a_failed_non_idempotent_task_is_not_retried) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
   harness.EndTask(harness.TakeStart(), 500, TaskEnd::kFailed);
@@ -128,7 +128,7 @@
 // The answer to a screen is lost and its worker is unreachable. It must not run
 // elsewhere while the task may still run: a second start comes only after the
 // task's lease has lapsed, or never.
-BOOST_AUTO_TEST_CASE(an_uncertain_screen_never_runs_in_two_places) {
+BOOST_AUTO_TEST_CASE(an_uncertain_screen_never_runs_twice_at_once) {
   CoreHarness harness(2);
   harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
@@ -160,7 +160,7 @@
   BOOST_TEST(stops.front().task == start.order.task);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_can_not_be_placed_is_given_up_in_time) {
+BOOST_AUTO_TEST_CASE(a_request_that_can_not_be_placed_is_refused_in_time) {
   CoreHarness harness(1);
   for (int i = 0; i < 9; ++i) {
     harness.SendRequest("screen");
@@ -172,7 +172,8 @@
   BOOST_TEST(reply.answer.retry_after.count() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_starts_whole_and_is_answered_when_all_ended) {
+BOOST_AUTO_TEST_CASE(
+    a_gang_starts_together_and_is_answered_when_all_tasks_ended) {
   CoreHarness harness(2);
   harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
@@ -189,7 +190,7 @@
 
 // One worker refuses its task of a gang. The other task is stopped, and then
 // the gang starts whole, under new task ids.
-BOOST_AUTO_TEST_CASE(a_half_started_gang_is_stopped_and_started_again) {
+BOOST_AUTO_TEST_CASE(a_partially_started_gang_is_stopped_and_restarted) {
   CoreHarness harness(2);
   harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
