--- a/packages/jobs/src/ask_choice.cc
+++ b/packages/jobs/src/ask_choice.cc
@@ -49,13 +49,13 @@
 ///   part always does not, and the permissions lapse meanwhile. With it a gang
 ///   renewed its permissions again and again.
 std::int64_t Fitting(const AskWish& wish, const Candidate& candidate) {
-  Room room = *candidate.room;
+  WorkerCapacity room = *candidate.capacity;
   if (!wish.step->gang) {
     room.free = room.session->FreeBy(wish.now, wish.answered, room.free);
   }
   Candidate then = candidate;
-  then.room = &room;
-  return RoomFor(*wish.step, then, wish.tasks);
+  then.capacity = &room;
+  return CountPlaceable(*wish.step, then, wish.tasks);
 }
 
 /// A gang gathers its room over time, so it is worth knowing of workers that
@@ -63,13 +63,14 @@
 /// only about those with room, in a cell that was nearly full a gang learnt of
 /// 2 workers a question, and asked 10 to 14 times.
 bool WorthLearning(const AskWish& wish, const WorkerSession& session) {
-  return wish.step->gang && Takes(*wish.step).FitsIn(session.info.capacity);
+  return wish.step->gang &&
+         TaskDemand(*wish.step).FitsIn(session.info.capacity);
 }
 
 Choices Sort(const AskWish& wish, std::span<const Candidate> candidates) {
   Choices choices;
   for (const Candidate& candidate : candidates) {
-    const WorkerSession* session = candidate.room->session;
+    const WorkerSession* session = candidate.capacity->session;
     if (wish.advice->Refuses(session->Number())) continue;
     const std::int64_t fitting = Fitting(wish, candidate);
     const Ticket* ticket = wish.advice->TicketFor(session->Number());
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -42,7 +42,7 @@
 std::size_t PutFailedLast(const Unit& unit,
                           std::vector<Candidate>* candidates) {
   const auto failed_there = [&](const Candidate& candidate) {
-    const WorkerId& worker = candidate.room->session->Incarnation().id;
+    const WorkerId& worker = candidate.capacity->session->Incarnation().id;
     return std::any_of(
         unit.tasks.begin(), unit.tasks.end(), [&](std::int32_t index) {
           return unit.progress->tasks[static_cast<std::size_t>(index)]
@@ -64,11 +64,11 @@
 }
 
 /// @return how many of the unit's tasks the candidates take now
-std::int64_t CountRoom(const Unit& unit,
-                       const std::vector<Candidate>& candidates) {
+std::int64_t CountPlaceableTasks(const Unit& unit,
+                                 const std::vector<Candidate>& candidates) {
   std::int64_t room = 0;
   for (const Candidate& one : candidates) {
-    room += RoomFor(*unit.step, one, std::ssize(unit.tasks));
+    room += CountPlaceable(*unit.step, one, std::ssize(unit.tasks));
   }
   return room;
 }
@@ -94,8 +94,8 @@
   this->NoteSilent();
   std::vector<Unit> units = this->CollectUnits(now);
   this->NoteEjected(now);
-  const PassRooms rooms(this->context->workers);
-  this->AllowForGathering(&units, rooms, now);
+  const PassCapacity capacities(this->context->workers);
+  this->AllowForGathering(&units, capacities, now);
   std::stable_sort(
       units.begin(), units.end(), [](const Unit& a, const Unit& b) {
         return std::tie(a.lateness, a.queue->priority, a.begin_by) <
@@ -112,16 +112,16 @@
   });
   std::int32_t holds = 0;
   for (Unit& unit : units) {
-    this->PlaceUnit(&unit, rooms, now);
+    this->PlaceUnit(&unit, capacities, now);
     if (unit.tasks.empty()) continue;
     if (this->waits.Due(unit, now)) {
-      this->waits.Write(unit, this->LookAtWait(unit, rooms, now), now);
+      this->waits.Write(unit, this->LookAtWait(unit, capacities, now), now);
     }
-    if (unit.queue->advice) this->ConsiderAdvice(unit, rooms, now);
+    if (unit.queue->advice) this->ConsiderAdvice(unit, capacities, now);
     const bool holds_room =
         unit.step->gang && unit.lateness != Lateness::kWorthless;
     if (holds_room && holds < kMaxHolds) {
-      this->HoldForGang(unit, rooms, now);
+      this->HoldForGang(unit, capacities, now);
       ++holds;
     }
   }
@@ -289,19 +289,19 @@
   return kept < most && kept + down < 2 * most;
 }
 
-void Dispatcher::PlaceQuarantined(Unit* unit, const PassRooms& rooms,
+void Dispatcher::PlaceQuarantined(Unit* unit, const PassCapacity& capacities,
                                   Instant now) {
   if (!this->MayQuarantine()) return;
   std::vector<Candidate> candidates =
       unit->queue->advice
-          ? this->Permitted(*unit, rooms, now, PermitNeed::kHolds)
-          : this->Candidates(*unit, rooms, now);
+          ? this->Permitted(*unit, capacities, now, PermitNeed::kHolds)
+          : this->Candidates(*unit, capacities, now);
   std::erase_if(candidates, [&](const Candidate& one) {
-    return RoomFor(*unit->step, one) == 0;
+    return CountPlaceable(*unit->step, one) == 0;
   });
   if (candidates.empty()) return;
   const auto company = [&](const Candidate& one) {
-    const WorkerSession& session = *one.room->session;
+    const WorkerSession& session = *one.capacity->session;
     return std::pair(session.CountUnproven(), session.runs.size());
   };
   const auto chosen =
@@ -311,8 +311,8 @@
                        });
   const bool alone = company(*chosen).first == 0;
   if (!alone && now < unit->waits_since + kQuietWorkerWait) return;
-  chosen->room->free = Resources{};
-  this->Start(unit, {chosen->room->session->Incarnation()});
+  chosen->capacity->free = Resources{};
+  this->Start(unit, {chosen->capacity->session->Incarnation()});
 }
 
 Duration Dispatcher::Objective(const Unit& unit) const {
@@ -336,10 +336,12 @@
 }
 
 void Dispatcher::AllowForGathering(std::vector<Unit>* units,
-                                   const PassRooms& rooms, Instant now) const {
+                                   const PassCapacity& capacities,
+                                   Instant now) const {
   for (Unit& unit : *units) {
     if (!unit.step->gang || unit.lateness == Lateness::kWorthless) continue;
-    std::vector<Candidate> candidates = this->GangCandidates(unit, rooms, now);
+    std::vector<Candidate> candidates =
+        this->GangCandidates(unit, capacities, now);
     const auto fit =
         FindGangFit(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
                     candidates, now);
@@ -360,12 +362,13 @@
                                                unit.step->estimate);
 }
 
-void Dispatcher::AddCandidate(const Unit& unit, Room* room, Instant end,
+void Dispatcher::AddCandidate(const Unit& unit, WorkerCapacity* room,
+                              Instant end,
                               std::vector<Candidate>* candidates) const {
   if (room->held && end > room->held_until) return;
   if (!room->session->HasLabel(unit.step->required_label)) return;
-  if (!Takes(*unit.step).FitsIn(room->free) && !unit.step->gang) return;
-  Candidate candidate{.room = room};
+  if (!TaskDemand(*unit.step).FitsIn(room->free) && !unit.step->gang) return;
+  Candidate candidate{.capacity = room};
   if (unit.step->max_per_worker > 0) {
     candidate.siblings =
         CountSiblings(*unit.progress, room->session->Incarnation());
@@ -374,18 +377,18 @@
 }
 
 std::vector<Candidate> Dispatcher::Candidates(const Unit& unit,
-                                              const PassRooms& rooms,
+                                              const PassCapacity& capacities,
                                               Instant now) const {
   std::vector<Candidate> candidates;
   const Instant end = this->ExpectedEnd(unit, now);
-  for (Room* room : rooms.OfService(unit.queue->service)) {
+  for (WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
     this->AddCandidate(unit, room, end, &candidates);
   }
   return candidates;
 }
 
 std::vector<Candidate> Dispatcher::Permitted(const Unit& unit,
-                                             const PassRooms& rooms,
+                                             const PassCapacity& capacities,
                                              Instant now,
                                              PermitNeed need) const {
   std::vector<Candidate> candidates;
@@ -396,7 +399,7 @@
   for (const PermittedWorker& one : advice->permitted) {
     const bool holds = one.ticket.expires > valid_at;
     if (need == PermitNeed::kHolds && !holds) continue;
-    Room* room = rooms.At(one.session);
+    WorkerCapacity* room = capacities.At(one.session);
     // The queue may have been given to another service meanwhile.
     const bool serves =
         room != nullptr && room->session->info.service == unit.queue->service;
@@ -405,34 +408,38 @@
   return candidates;
 }
 
-void Dispatcher::PlaceUnit(Unit* unit, const PassRooms& rooms, Instant now) {
-  if (!rooms.MayFit(unit->queue->service, *unit->step)) return;
+void Dispatcher::PlaceUnit(Unit* unit, const PassCapacity& capacities,
+                           Instant now) {
+  if (!capacities.MayFitTask(unit->queue->service, *unit->step)) return;
   if (unit->quarantined) {
-    this->PlaceQuarantined(unit, rooms, now);
+    this->PlaceQuarantined(unit, capacities, now);
     return;
   }
   if (!unit->queue->advice) {
-    this->PlaceIn(unit, this->Candidates(*unit, rooms, now));
+    this->PlaceIn(unit, this->Candidates(*unit, capacities, now));
     return;
   }
-  this->PlaceIn(unit, this->Permitted(*unit, rooms, now, PermitNeed::kHolds));
+  this->PlaceIn(unit,
+                this->Permitted(*unit, capacities, now, PermitNeed::kHolds));
   if (!unit->step->gang || unit->tasks.empty()) return;
   // Most gangs that wait have too little room, and a pass looks at a hundred of
   // them; the search for places costs far more than this.
-  if (!this->MayTakeRoom(*unit, rooms)) return;
-  if (!this->HasRoom(*unit, rooms, now)) return;
-  this->PlaceIn(unit, this->GangCandidates(*unit, rooms, now));
+  if (!this->MayReserveCapacity(*unit, capacities)) return;
+  if (!this->HasCapacity(*unit, capacities, now)) return;
+  this->PlaceIn(unit, this->GangCandidates(*unit, capacities, now));
 }
 
-bool Dispatcher::HasRoom(const Unit& unit, const PassRooms& rooms,
-                         Instant now) const {
-  return CountRoom(unit, this->GangCandidates(unit, rooms, now)) >=
+bool Dispatcher::HasCapacity(const Unit& unit, const PassCapacity& capacities,
+                             Instant now) const {
+  return CountPlaceableTasks(unit,
+                             this->GangCandidates(unit, capacities, now)) >=
          std::ssize(unit.tasks);
 }
 
-bool Dispatcher::MayTakeRoom(const Unit& unit, const PassRooms& rooms) const {
+bool Dispatcher::MayReserveCapacity(const Unit& unit,
+                                    const PassCapacity& capacities) const {
   return this->context->reservations->MayAdd(
-      rooms.Capacity(unit.queue->service).cpu_milli);
+      capacities.Capacity(unit.queue->service).cpu_milli);
 }
 
 void Dispatcher::PlaceIn(Unit* unit, std::vector<Candidate> candidates) {
@@ -449,7 +456,7 @@
   if (unit->entry->crashes.empty()) return;
   // Nothing else is placed beside a suspicious task in this pass either.
   for (Candidate& one : candidates) {
-    if (one.room->session->Quarantined()) one.room->free = Resources{};
+    if (one.capacity->session->Quarantined()) one.capacity->free = Resources{};
   }
 }
 
@@ -464,13 +471,13 @@
                     unit->tasks.begin() + std::ssize(workers));
 }
 
-void Dispatcher::ConsiderAdvice(const Unit& unit, const PassRooms& rooms,
-                                Instant now) {
+void Dispatcher::ConsiderAdvice(const Unit& unit,
+                                const PassCapacity& capacities, Instant now) {
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice != nullptr) {
     if (advice->asking || now < unit.progress->ask_after) return;
     unit.progress->ask_after = now + kAskPause;
-    if (this->WorkersToAsk(unit, rooms, now).empty()) return;
+    if (this->WorkersToAsk(unit, capacities, now).empty()) return;
   }
   this->context->advice->Want(
       {.step = unit.ref,
@@ -481,14 +488,13 @@
        .work = DeclaredWork(*unit.step, std::ssize(unit.tasks))});
 }
 
-std::vector<AskedWorker> Dispatcher::WorkersToAsk(const Unit& unit,
-                                                  const PassRooms& rooms,
-                                                  Instant now) const {
+std::vector<AskedWorker> Dispatcher::WorkersToAsk(
+    const Unit& unit, const PassCapacity& capacities, Instant now) const {
   // Failure: what decides whether to ask and what decides whether to take room
   // count different permissions, and a gang that has enough for the one and too
   // little for the other waits for good. So a gang takes its room or asks, and
   // both look at the same rooms.
-  if (unit.step->gang && this->HasRoom(unit, rooms, now)) return {};
+  if (unit.step->gang && this->HasCapacity(unit, capacities, now)) return {};
   const AdvicePolicy& policy = *unit.queue->advice;
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
   AskWish wish;
@@ -505,10 +511,10 @@
   wish.answered = now + policy.decision + policy.per_worker * tasks;
   std::vector<Candidate> candidates;
   const Instant end = this->ExpectedEnd(unit, wish.answered);
-  for (Room* room : rooms.OfService(unit.queue->service)) {
+  for (WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
     if (room->held && end > room->held_until) continue;
     if (!room->session->HasLabel(unit.step->required_label)) continue;
-    candidates.push_back({.room = room});
+    candidates.push_back({.capacity = room});
   }
   return ChooseAsked(wish, candidates);
 }
@@ -525,25 +531,26 @@
   unit.tasks = JobTable::Startable(*entry, *unit.progress, ref.step, now);
   const bool known = this->context->advice->Find(ref) != nullptr;
   if (unit.tasks.empty() || !unit.queue->advice || !known) return {};
-  return this->WorkersToAsk(unit, PassRooms(this->context->workers), now);
+  return this->WorkersToAsk(unit, PassCapacity(this->context->workers), now);
 }
 
-std::vector<Candidate> Dispatcher::GangCandidates(const Unit& unit,
-                                                  const PassRooms& rooms,
-                                                  Instant now) const {
+std::vector<Candidate> Dispatcher::GangCandidates(
+    const Unit& unit, const PassCapacity& capacities, Instant now) const {
   return unit.queue->advice
-             ? this->Permitted(unit, rooms, now, PermitNeed::kKnown)
-             : this->Candidates(unit, rooms, now);
+             ? this->Permitted(unit, capacities, now, PermitNeed::kKnown)
+             : this->Candidates(unit, capacities, now);
 }
 
-void Dispatcher::HoldForGang(const Unit& unit, const PassRooms& rooms,
+void Dispatcher::HoldForGang(const Unit& unit, const PassCapacity& capacities,
                              Instant now) {
-  std::vector<Candidate> candidates = this->GangCandidates(unit, rooms, now);
-  HoldRooms(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
-            candidates, now);
+  std::vector<Candidate> candidates =
+      this->GangCandidates(unit, capacities, now);
+  HoldCapacity(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
+               candidates, now);
 }
 
-WaitFacts Dispatcher::LookAtWait(const Unit& unit, const PassRooms& rooms,
+WaitFacts Dispatcher::LookAtWait(const Unit& unit,
+                                 const PassCapacity& capacities,
                                  Instant now) const {
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
@@ -556,7 +563,7 @@
     facts.permitted = std::ssize(advice->permitted);
     facts.refused = std::ssize(advice->refused);
   }
-  for (const Room* room : rooms.OfService(unit.queue->service)) {
+  for (const WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
     const WorkerSession& session = *room->session;
     if (!session.HasLabel(unit.step->required_label)) continue;
     const std::int64_t fits =
@@ -571,18 +578,21 @@
     const bool refused = advice != nullptr && advice->Refuses(session.Number());
     if (!facts.gang && !refused) facts.fits_later = true;
   }
-  facts.room = CountRoom(unit, this->GangCandidates(unit, rooms, now));
-  facts.fresh_room = facts.has_policy
-                         ? CountRoom(unit, this->Permitted(unit, rooms, now,
-                                                           PermitNeed::kHolds))
-                         : facts.room;
+  facts.room =
+      CountPlaceableTasks(unit, this->GangCandidates(unit, capacities, now));
+  facts.fresh_room =
+      facts.has_policy
+          ? CountPlaceableTasks(unit, this->Permitted(unit, capacities, now,
+                                                      PermitNeed::kHolds))
+          : facts.room;
   facts.asking = advice != nullptr && advice->asking;
   facts.helped_by_question =
       facts.has_policy &&
-      (advice == nullptr || !this->WorkersToAsk(unit, rooms, now).empty());
+      (advice == nullptr || !this->WorkersToAsk(unit, capacities, now).empty());
   if (facts.gang) {
-    facts.room_taken_by_gangs = !this->MayTakeRoom(unit, rooms);
-    std::vector<Candidate> candidates = this->GangCandidates(unit, rooms, now);
+    facts.room_taken_by_gangs = !this->MayReserveCapacity(unit, capacities);
+    std::vector<Candidate> candidates =
+        this->GangCandidates(unit, capacities, now);
     facts.fits_later =
         FindGangFit(*unit.step, tasks, candidates, now).has_value();
   }
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -7,7 +7,7 @@
 
 #include "callback_guard.h"
 #include "owner_context.h"
-#include "pass_rooms.h"
+#include "pass_capacity.h"
 #include "permission_broker.h"
 #include "placement.h"
 #include "unit.h"
@@ -61,42 +61,49 @@
   /// @return the time from a job's acceptance in which it should be done
   Duration Objective(const Unit& unit) const;
   void Rank(Unit* unit, Duration objective, Instant now) const;
-  void AllowForGathering(std::vector<Unit>* units, const PassRooms& rooms,
-                         Instant now) const;
-  void PlaceUnit(Unit* unit, const PassRooms& rooms, Instant now);
+  void AllowForGathering(std::vector<Unit>* units,
+                         const PassCapacity& capacities, Instant now) const;
+  void PlaceUnit(Unit* unit, const PassCapacity& capacities, Instant now);
   /// @return true if a gang's room is there, permissions that have lapsed aside
-  bool HasRoom(const Unit& unit, const PassRooms& rooms, Instant now) const;
+  bool HasCapacity(const Unit& unit, const PassCapacity& capacities,
+                   Instant now) const;
   /// @return true if one more gang may take its room before it asks
-  bool MayTakeRoom(const Unit& unit, const PassRooms& rooms) const;
+  bool MayReserveCapacity(const Unit& unit,
+                          const PassCapacity& capacities) const;
   /// Starts a suspicious task where the fewest others run.
-  void PlaceQuarantined(Unit* unit, const PassRooms& rooms, Instant now);
+  void PlaceQuarantined(Unit* unit, const PassCapacity& capacities,
+                        Instant now);
   /// @return true if one more worker may be kept for a suspicious task
   bool MayQuarantine() const;
   /// Starts what fits of the unit, a gang only whole.
   void PlaceIn(Unit* unit, std::vector<Candidate> candidates);
   /// Rooms that the step may use, permissions aside.
-  std::vector<Candidate> Candidates(const Unit& unit, const PassRooms& rooms,
+  std::vector<Candidate> Candidates(const Unit& unit,
+                                    const PassCapacity& capacities,
                                     Instant now) const;
   /// Rooms on workers that may run the step.
-  std::vector<Candidate> Permitted(const Unit& unit, const PassRooms& rooms,
-                                   Instant now, PermitNeed need) const;
+  std::vector<Candidate> Permitted(const Unit& unit,
+                                   const PassCapacity& capacities, Instant now,
+                                   PermitNeed need) const;
   /// Rooms that a gang may use, whether its permissions have lapsed or not.
   std::vector<Candidate> GangCandidates(const Unit& unit,
-                                        const PassRooms& rooms,
+                                        const PassCapacity& capacities,
                                         Instant now) const;
-  void AddCandidate(const Unit& unit, Room* room, Instant end,
+  void AddCandidate(const Unit& unit, WorkerCapacity* room, Instant end,
                     std::vector<Candidate>* candidates) const;
   /// @return workers that a question about the step would be about; none if it
   ///   would not help
   std::vector<AskedWorker> WorkersToAsk(const Unit& unit,
-                                        const PassRooms& rooms,
+                                        const PassCapacity& capacities,
                                         Instant now) const;
   Instant ExpectedEnd(const Unit& unit, Instant now) const;
   void Start(Unit* unit, const std::vector<WorkerIncarnation>& workers);
-  void ConsiderAdvice(const Unit& unit, const PassRooms& rooms, Instant now);
-  void HoldForGang(const Unit& unit, const PassRooms& rooms, Instant now);
+  void ConsiderAdvice(const Unit& unit, const PassCapacity& capacities,
+                      Instant now);
+  void HoldForGang(const Unit& unit, const PassCapacity& capacities,
+                   Instant now);
   /// @return what a step that waits has
-  WaitFacts LookAtWait(const Unit& unit, const PassRooms& rooms,
+  WaitFacts LookAtWait(const Unit& unit, const PassCapacity& capacities,
                        Instant now) const;
   Unit MakeUnit(JobEntry* entry, const StepRef& ref) const;
 
--- a/packages/jobs/src/gang_hold.cc
+++ b/packages/jobs/src/gang_hold.cc
@@ -17,7 +17,7 @@
                                      Instant now) {
   std::vector<Release> releases;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    for (const auto& [run, record] : candidates[i].room->session->runs) {
+    for (const auto& [run, record] : candidates[i].capacity->session->runs) {
       releases.push_back({std::max(now, record.expected_end), i, record.takes});
     }
   }
@@ -36,7 +36,7 @@
   std::vector<std::int64_t> fitting;
   std::int64_t total = 0;
   for (const Candidate& candidate : candidates) {
-    free.push_back(candidate.room->free);
+    free.push_back(candidate.capacity->free);
     fitting.push_back(CountFitting(step, free.back(), tasks));
     total += fitting.back();
   }
@@ -58,14 +58,14 @@
   return fit;
 }
 
-void HoldRooms(const Step& step, std::int64_t tasks,
-               std::span<Candidate> candidates, Instant now) {
+void HoldCapacity(const Step& step, std::int64_t tasks,
+                  std::span<Candidate> candidates, Instant now) {
   const auto fit = FindGangFit(step, tasks, candidates, now);
   // It does not fit even when all have ended; holding would not help.
   if (!fit) return;
   for (const std::size_t index : fit->candidates) {
-    candidates[index].room->held = true;
-    candidates[index].room->held_until = fit->at;
+    candidates[index].capacity->held = true;
+    candidates[index].capacity->held_until = fit->at;
   }
 }
 
--- a/packages/jobs/src/gang_hold.h
+++ b/packages/jobs/src/gang_hold.h
@@ -32,8 +32,8 @@
 ///
 /// Failure guarded against: small tasks take each gap as it opens, and a gang
 /// that needs a third of the workers at once never starts.
-void HoldRooms(const Step& step, std::int64_t tasks,
-               std::span<Candidate> candidates, Instant now);
+void HoldCapacity(const Step& step, std::int64_t tasks,
+                  std::span<Candidate> candidates, Instant now);
 
 }  // namespace mustardproxy::jobs
 
--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -180,7 +180,7 @@
                                .policy = *queue.advice,
                                .limits = {},
                                .begin_by = this->reservations.at(step).since,
-                               .room_taken = true});
+                               .capacity_reserved = true});
 }
 
 void GangReservations::GiveUp(const StepRef& step, std::string_view reason) {
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -211,7 +211,7 @@
   // Failure: its job is not known any more, nobody can tell what it takes, and
   // the worker gets more than it has room for. Until it has ended, which takes
   // the worker a fraction of a second, nothing else starts there.
-  record.takes = step == nullptr ? session->info.capacity : Takes(*step);
+  record.takes = step == nullptr ? session->info.capacity : TaskDemand(*step);
   record.phase = RunPhase::kStarted;
   record.started_at = this->context->executor->Now();
   record.moved_at = record.started_at;
--- a/packages/jobs/src/pass_rooms.cc
+++ b/packages/jobs/src/pass_capacity.cc
@@ -1,4 +1,4 @@
-#include "pass_rooms.h"
+#include "pass_capacity.h"
 
 namespace mustardproxy::jobs {
 namespace {
@@ -11,38 +11,40 @@
 
 }  // namespace
 
-PassRooms::PassRooms(const WorkerTable& workers)
+PassCapacity::PassCapacity(const WorkerTable& workers)
     : by_session(workers.NumberLimit(), nullptr) {
   // The rooms must not move any more once they are pointed to.
-  this->rooms.reserve(workers.Size());
+  this->capacities.reserve(workers.Size());
   for (const auto& [id, session] : workers) {
     if (!TakesTasks(*session)) continue;
-    Room& room = this->rooms.emplace_back();
+    WorkerCapacity& room = this->capacities.emplace_back();
     room.session = session.get();
     room.free = session->Free();
     this->by_session[session->Number()] = &room;
-    ServiceRooms& service = this->services[session->info.service];
-    service.rooms.push_back(&room);
+    ServiceCapacity& service = this->services[session->info.service];
+    service.capacities.push_back(&room);
     service.most = ComponentMax(service.most, room.free);
     service.capacity += session->info.capacity;
   }
 }
 
-std::span<Room* const> PassRooms::OfService(const ServiceId& service) const {
+std::span<WorkerCapacity* const> PassCapacity::OfService(
+    const ServiceId& service) const {
   const auto found = this->services.find(service);
   if (found == this->services.end()) return {};
-  return found->second.rooms;
+  return found->second.capacities;
 }
 
-Resources PassRooms::Capacity(const ServiceId& service) const {
+Resources PassCapacity::Capacity(const ServiceId& service) const {
   const auto found = this->services.find(service);
   return found == this->services.end() ? Resources{} : found->second.capacity;
 }
 
-bool PassRooms::MayFit(const ServiceId& service, const Step& step) const {
+bool PassCapacity::MayFitTask(const ServiceId& service,
+                              const Step& step) const {
   const auto found = this->services.find(service);
   return found != this->services.end() &&
-         Takes(step).FitsIn(found->second.most);
+         TaskDemand(step).FitsIn(found->second.most);
 }
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/placement.cc
+++ b/packages/jobs/src/placement.cc
@@ -16,10 +16,10 @@
   std::vector<GangCandidate> grouped;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     // However few are wanted: the search fills the smallest gaps first.
-    const std::int64_t room = RoomFor(step, candidates[i]);
+    const std::int64_t room = CountPlaceable(step, candidates[i]);
     if (room == 0) continue;
     const auto rack =
-        racks.emplace(candidates[i].room->session->info.rack, racks.size())
+        racks.emplace(candidates[i].capacity->session->info.rack, racks.size())
             .first->second;
     grouped.push_back({static_cast<std::uint32_t>(i), rack, room});
   }
@@ -41,16 +41,16 @@
   for (const std::uint32_t index :
        PlaceGang(grouped, count, Packing::kBestFit)) {
     Candidate& chosen = candidates[index];
-    chosen.room->free -= Takes(step);
+    chosen.capacity->free -= TaskDemand(step);
     ++chosen.siblings;
-    workers.push_back(chosen.room->session->info.incarnation);
+    workers.push_back(chosen.capacity->session->info.incarnation);
   }
   return workers;
 }
 
 }  // namespace
 
-Resources Takes(const Step& step) {
+Resources TaskDemand(const Step& step) {
   Resources takes = step.each;
   takes.slots = 0;
   if (step.best_effort) takes.cpu_milli = 0;
@@ -59,17 +59,17 @@
 
 std::int64_t CountFitting(const Step& step, const Resources& free,
                           std::int64_t limit) {
-  return std::min(limit, mustardproxy::CountFitting(Takes(step), free));
+  return std::min(limit, mustardproxy::CountFitting(TaskDemand(step), free));
 }
 
-std::int64_t RoomFor(const Step& step, const Candidate& candidate,
-                     std::int64_t limit) {
+std::int64_t CountPlaceable(const Step& step, const Candidate& candidate,
+                            std::int64_t limit) {
   if (step.max_per_worker > 0) {
     const std::int64_t left =
         std::max(0, step.max_per_worker - candidate.siblings);
     limit = std::min(limit, left);
   }
-  return CountFitting(step, candidate.room->free, limit);
+  return CountFitting(step, candidate.capacity->free, limit);
 }
 
 std::vector<WorkerIncarnation> PlaceTasks(const Step& step, std::int32_t tasks,
@@ -77,7 +77,7 @@
   if (step.near_rack.empty()) return Place(step, tasks, candidates);
   const auto near_end = std::stable_partition(
       candidates.begin(), candidates.end(), [&](const Candidate& candidate) {
-        return candidate.room->session->info.rack == step.near_rack;
+        return candidate.capacity->session->info.rack == step.near_rack;
       });
   const std::span<Candidate> near(candidates.begin(), near_end);
   std::vector<WorkerIncarnation> workers = Place(step, tasks, near);
--- a/packages/jobs/src/placement.h
+++ b/packages/jobs/src/placement.h
@@ -14,7 +14,7 @@
 namespace mustardproxy::jobs {
 
 /// A worker that may take tasks, during one pass over the queue.
-struct Room {
+struct WorkerCapacity {
   const WorkerSession* session = nullptr;
   Resources free;
   /// What lower-ranked steps must leave free for a gang that waits, until
@@ -25,21 +25,22 @@
 
 /// A room that may take tasks of one step.
 struct Candidate {
-  Room* room = nullptr;
+  WorkerCapacity* capacity = nullptr;
   /// Tasks of the same step that are there already.
   std::int32_t siblings = 0;
 };
 
 /// @return what one task takes of a worker's room
-[[nodiscard]] Resources Takes(const Step& step);
+[[nodiscard]] Resources TaskDemand(const Step& step);
 
 /// @return how many tasks of the step fit into `free`, at most `limit`
 [[nodiscard]] std::int64_t CountFitting(const Step& step, const Resources& free,
                                         std::int64_t limit);
 
 /// @return how many tasks of the step a candidate takes, at most `limit`
-[[nodiscard]] std::int64_t RoomFor(const Step& step, const Candidate& candidate,
-                                   std::int64_t limit = kUnboundedCount);
+[[nodiscard]] std::int64_t CountPlaceable(const Step& step,
+                                          const Candidate& candidate,
+                                          std::int64_t limit = kUnboundedCount);
 
 /// Chooses workers for `tasks` tasks of a step: the data's rack first, else one
 /// rack if it holds all, best fit within. Takes the room in `candidates`.
--- a/packages/jobs/src/question_queue.cc
+++ b/packages/jobs/src/question_queue.cc
@@ -49,15 +49,16 @@
   const bool a_short = !IsLong(a.need.policy);
   const bool b_short = !IsLong(b.need.policy);
   if (a_short != b_short) return a_short;
-  if (a.need.room_taken != b.need.room_taken) return a.need.room_taken;
+  if (a.need.capacity_reserved != b.need.capacity_reserved)
+    return a.need.capacity_reserved;
   const double a_pay = Pay(a.need, now);
   const double b_pay = Pay(b.need, now);
   return std::tie(b_pay, a.need.begin_by, a.number) <
          std::tie(a_pay, b.need.begin_by, b.number);
 }
 
-bool IsLongWithoutRoom(const WaitingQuestion& one) {
-  return IsLong(one.need.policy) && !one.need.room_taken;
+bool IsLongWithoutCapacity(const WaitingQuestion& one) {
+  return IsLong(one.need.policy) && !one.need.capacity_reserved;
 }
 
 }  // namespace
@@ -96,7 +97,7 @@
   // What is hopeless ends too, but not for the time of what is only late.
   const bool also_hopeless = this->long_sent % kOldestOfAllEvery == 0;
   const auto first = std::find_if(this->waiting.begin(), this->waiting.end(),
-                                  IsLongWithoutRoom);
+                                  IsLongWithoutCapacity);
   auto oldest = this->waiting.end();
   for (auto one = first; one != this->waiting.end(); ++one) {
     const bool counts =
--- a/packages/jobs/src/question_queue.h
+++ b/packages/jobs/src/question_queue.h
@@ -30,7 +30,7 @@
   /// Processor time of the tasks that wait, as declared.
   Duration work{0};
   /// Its room is taken and stands empty until the answer.
-  bool room_taken = false;
+  bool capacity_reserved = false;
 };
 
 /// @return processor time of so many tasks of a step, as declared
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -67,7 +67,7 @@
   const StepRef& ref = runs.front().task.step;
   const Step& step = *this->context->jobs.FindStep(ref);
   SessionRun record;
-  record.takes = Takes(step);
+  record.takes = TaskDemand(step);
   record.started_at = now;
   record.moved_at = now;
   record.expected_end = now + this->context->run_times.Expect(
@@ -148,14 +148,14 @@
   if (!MayBeSame(session->Incarnation(), worker)) {
     this->context->jobs.NoteLoss(run, {.worker = worker, .certain = true});
     SessionRun former;
-    former.takes = Takes(*step);
+    former.takes = TaskDemand(*step);
     former.start_sent = this->context->executor->Now();
     this->BlockStart(session, run, former);
     return;
   }
   const Instant now = this->context->executor->Now();
   SessionRun record;
-  record.takes = Takes(*step);
+  record.takes = TaskDemand(*step);
   record.phase = RunPhase::kStarted;
   record.listed_from = now;
   record.started_at = now;
--- a/packages/jobs/tests/ask_choice_test.cc
+++ b/packages/jobs/tests/ask_choice_test.cc
@@ -26,10 +26,10 @@
     info.capacity = {16'000, 64'000, 0, 0};
     this->sessions.push_back(std::make_unique<WorkerSession>(
         number, info, Instant(), Instant::min()));
-    auto room = std::make_unique<Room>();
+    auto room = std::make_unique<WorkerCapacity>();
     room->session = this->sessions.back().get();
     room->free = {tasks * 1000, 64'000, 0, 0};
-    this->rooms.push_back(std::move(room));
+    this->capacities.push_back(std::move(room));
     return number;
   }
   void Permit(SessionNumber session, Instant expires) {
@@ -47,8 +47,8 @@
     wish.now = kNow;
     wish.answered = kAnswered;
     std::vector<Candidate> candidates;
-    for (const auto& room : this->rooms) {
-      candidates.push_back({.room = room.get()});
+    for (const auto& room : this->capacities) {
+      candidates.push_back({.capacity = room.get()});
     }
     std::vector<SessionNumber> chosen;
     for (const AskedWorker& worker : ChooseAsked(wish, candidates)) {
@@ -58,7 +58,7 @@
   }
 
   std::vector<std::unique_ptr<WorkerSession>> sessions;
-  std::vector<std::unique_ptr<Room>> rooms;
+  std::vector<std::unique_ptr<WorkerCapacity>> capacities;
   StepAdvice advice;
   std::size_t cheap_workers = 0;
 };
--- a/packages/jobs/tests/placement_test.cc
+++ b/packages/jobs/tests/placement_test.cc
@@ -27,15 +27,16 @@
     info.capacity = {16'000, 64'000, 0, 0};
     this->sessions.push_back(std::make_unique<WorkerSession>(
         static_cast<SessionNumber>(number), info, Instant(), Instant::min()));
-    Room room;
+    WorkerCapacity room;
     room.session = this->sessions.back().get();
     room.free = {free_cpu, 64'000, 0, 0};
-    this->rooms.push_back(room);
+    this->capacities.push_back(room);
   }
 
   std::vector<Candidate> Candidates() {
     std::vector<Candidate> candidates;
-    for (Room& room : this->rooms) candidates.push_back({.room = &room});
+    for (WorkerCapacity& room : this->capacities)
+      candidates.push_back({.capacity = &room});
     return candidates;
   }
 
@@ -59,7 +60,7 @@
   }
 
   std::vector<std::unique_ptr<WorkerSession>> sessions;
-  std::vector<Room> rooms;
+  std::vector<WorkerCapacity> capacities;
   std::int32_t next = 0;
 };
 
@@ -74,7 +75,7 @@
   step.gang = true;
   BOOST_TEST(Place(step).empty());
   // Nothing was taken by the try.
-  BOOST_TEST(rooms[0].free.cpu_milli == 4000);
+  BOOST_TEST(capacities[0].free.cpu_milli == 4000);
   step.tasks = 4;
   BOOST_TEST(Place(step).size() == 2U);
 }
@@ -83,7 +84,7 @@
   Add(4000);
   const Step step = MakeStep(5, 2000, seconds(1));
   BOOST_TEST(Place(step)["w0"] == 2);
-  BOOST_TEST(rooms[0].free.cpu_milli == 0);
+  BOOST_TEST(capacities[0].free.cpu_milli == 0);
 }
 
 BOOST_AUTO_TEST_CASE(best_fit_keeps_large_gaps_whole) {
@@ -144,10 +145,10 @@
   Step step = MakeStep(2, 16'000, seconds(1));
   step.gang = true;
   std::vector<Candidate> candidates = Candidates();
-  HoldRooms(step, 2, candidates, kNow);
-  BOOST_TEST(rooms[0].held);
-  BOOST_TEST(rooms[1].held);
-  BOOST_TEST((rooms[1].held_until == kNow + seconds(5)));
+  HoldCapacity(step, 2, candidates, kNow);
+  BOOST_TEST(capacities[0].held);
+  BOOST_TEST(capacities[1].held);
+  BOOST_TEST((capacities[1].held_until == kNow + seconds(5)));
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_held_for_what_can_never_fit) {
@@ -155,8 +156,8 @@
   Step step = MakeStep(2, 16'000, seconds(1));
   step.gang = true;
   std::vector<Candidate> candidates = Candidates();
-  HoldRooms(step, 2, candidates, kNow);
-  BOOST_TEST(!rooms[0].held);
+  HoldCapacity(step, 2, candidates, kNow);
+  BOOST_TEST(!capacities[0].held);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -27,7 +27,7 @@
     if (lateness == Lateness::kWorthless)
       need.limits.any_worth = kNow - seconds(1);
     need.work = work;
-    need.room_taken = this->room_taken;
+    need.capacity_reserved = this->capacity_reserved;
     this->queue.Push(need, kNow);
   }
   /// @return the jobs in the order in which their questions go; each counts as
@@ -44,7 +44,7 @@
   }
 
   QuestionQueue queue;
-  bool room_taken = false;
+  bool capacity_reserved = false;
 };
 
 using Order = std::vector<std::string>;
@@ -55,9 +55,9 @@
 
 BOOST_AUTO_TEST_CASE(short_questions_go_first_and_then_those_with_room) {
   Push("wide", seconds(900));
-  room_taken = true;
+  capacity_reserved = true;
   Push("has-room", seconds(1));
-  room_taken = false;
+  capacity_reserved = false;
   Push("short", seconds(1), Lateness::kInTime, milliseconds(20));
   BOOST_TEST(SendAll() == (Order{"short", "has-room", "wide"}),
              boost::test_tools::per_element());
