--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -16,7 +16,7 @@
 namespace {
 
 /// A job that takes more than this times its objective is worth nothing.
-constexpr std::int64_t kWorthlessAfter = 3;
+constexpr std::int64_t kExpiryFactor = 3;
 /// Gangs that may hold room at the same time. With more, a burst of gangs would
 /// hold the whole cell empty for each other.
 constexpr std::int32_t kMaxHolds = 2;
@@ -98,8 +98,8 @@
   this->AllowForGathering(&units, capacities, now);
   std::stable_sort(
       units.begin(), units.end(), [](const Unit& a, const Unit& b) {
-        return std::tie(a.lateness, a.queue->priority, a.begin_by) <
-               std::tie(b.lateness, b.queue->priority, b.begin_by);
+        return std::tie(a.deadline_status, a.queue->priority, a.start_by) <
+               std::tie(b.deadline_status, b.queue->priority, b.start_by);
       });
   // Failure: suspicious tasks that come later, and are not late yet, take each
   // worker that may be kept, and one that has waited long never starts.
@@ -119,7 +119,7 @@
     }
     if (unit.queue->advice) this->ConsiderAdvice(unit, capacities, now);
     const bool holds_room =
-        unit.step->gang && unit.lateness != Lateness::kWorthless;
+        unit.step->gang && unit.deadline_status != DeadlineStatus::kExpired;
     if (holds_room && holds < kMaxHolds) {
       this->HoldForGang(unit, capacities, now);
       ++holds;
@@ -324,22 +324,23 @@
 
 void Dispatcher::Rank(Unit* unit, Duration objective, Instant now) const {
   const Instant due = unit->entry->learnt + objective;
-  unit->begin_by = due;
+  unit->start_by = due;
   if (unit->step->long_running) return;
   const auto step = static_cast<std::size_t>(unit->ref.step);
   const Duration chain = this->context->run_times.Expect(
       unit->entry->job.queue.name, unit->entry->chains[step]);
-  unit->begin_by = due - chain;
-  const Instant worthless = unit->entry->learnt + kWorthlessAfter * objective;
-  unit->limits = {.in_time = due - chain, .any_worth = worthless - chain};
-  unit->lateness = unit->limits.At(now);
+  unit->start_by = due - chain;
+  const Instant worthless = unit->entry->learnt + kExpiryFactor * objective;
+  unit->deadlines = {.on_time = due - chain, .useful = worthless - chain};
+  unit->deadline_status = unit->deadlines.At(now);
 }
 
 void Dispatcher::AllowForGathering(std::vector<Unit>* units,
                                    const PassCapacity& capacities,
                                    Instant now) const {
   for (Unit& unit : *units) {
-    if (!unit.step->gang || unit.lateness == Lateness::kWorthless) continue;
+    if (!unit.step->gang || unit.deadline_status == DeadlineStatus::kExpired)
+      continue;
     std::vector<Candidate> candidates =
         this->GangCandidates(unit, capacities, now);
     const auto fit =
@@ -352,8 +353,8 @@
     // and all would stand empty by turns.
     Instant& gather_by = unit.progress->gather_by;
     gather_by =
-        std::min(gather_by, unit.begin_by - kGatherMargin * (fit->at - now));
-    unit.begin_by = gather_by;
+        std::min(gather_by, unit.start_by - kGatherMargin * (fit->at - now));
+    unit.start_by = gather_by;
   }
 }
 
@@ -483,8 +484,8 @@
       {.step = unit.ref,
        .queue = unit.queue->name,
        .policy = *unit.queue->advice,
-       .limits = unit.limits,
-       .begin_by = unit.begin_by,
+       .deadlines = unit.deadlines,
+       .start_by = unit.start_by,
        .work = DeclaredWork(*unit.step, std::ssize(unit.tasks))});
 }
 
--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -178,8 +178,8 @@
   this->context->advice->Want({.step = step,
                                .queue = queue.name,
                                .policy = *queue.advice,
-                               .limits = {},
-                               .begin_by = this->reservations.at(step).since,
+                               .deadlines = {},
+                               .start_by = this->reservations.at(step).since,
                                .capacity_reserved = true});
 }
 
--- a/packages/jobs/src/question_queue.cc
+++ b/packages/jobs/src/question_queue.cc
@@ -23,13 +23,13 @@
 constexpr Duration kLeastRunTime = milliseconds(100);
 constexpr Duration kServiceRunTime = seconds(60);
 
-double ShareOfWorth(Lateness lateness) {
-  switch (lateness) {
-    case Lateness::kInTime:
+double ShareOfWorth(DeadlineStatus deadline_status) {
+  switch (deadline_status) {
+    case DeadlineStatus::kOnTime:
       return 1.0;
-    case Lateness::kLate:
+    case DeadlineStatus::kLate:
       return kLateShare;
-    case Lateness::kWorthless:
+    case DeadlineStatus::kExpired:
       break;
   }
   return 0.0;
@@ -40,7 +40,7 @@
 double Pay(const AdviceNeed& need, Instant now) {
   const auto cost = static_cast<double>(
       std::max<std::int64_t>(1, need.policy.decision.count()));
-  return ShareOfWorth(need.limits.At(now)) *
+  return ShareOfWorth(need.deadlines.At(now)) *
          static_cast<double>(need.work.count()) / cost;
 }
 
@@ -53,8 +53,8 @@
     return a.need.capacity_reserved;
   const double a_pay = Pay(a.need, now);
   const double b_pay = Pay(b.need, now);
-  return std::tie(b_pay, a.need.begin_by, a.number) <
-         std::tie(a_pay, b.need.begin_by, b.number);
+  return std::tie(b_pay, a.need.start_by, a.number) <
+         std::tie(a_pay, b.need.start_by, b.number);
 }
 
 bool IsLongWithoutCapacity(const WaitingQuestion& one) {
@@ -100,8 +100,8 @@
                                   IsLongWithoutCapacity);
   auto oldest = this->waiting.end();
   for (auto one = first; one != this->waiting.end(); ++one) {
-    const bool counts =
-        also_hopeless || one->need.limits.At(now) != Lateness::kWorthless;
+    const bool counts = also_hopeless ||
+                        one->need.deadlines.At(now) != DeadlineStatus::kExpired;
     const bool older =
         oldest == this->waiting.end() || one->number < oldest->number;
     if (counts && older) oldest = one;
--- a/packages/jobs/src/question_queue.h
+++ b/packages/jobs/src/question_queue.h
@@ -5,10 +5,10 @@
 #include <cstdint>
 #include <vector>
 
-#include "lateness.h"
 #include "mustardproxy/core/ids.h"
 #include "mustardproxy/core/time.h"
 #include "mustardproxy/jobs/job.h"
+#include "start_deadlines.h"
 
 namespace mustardproxy::jobs {
 
@@ -24,9 +24,9 @@
   StepRef step;
   QueueName queue;
   AdvicePolicy policy;
-  BeginLimits limits;
+  StartDeadlines deadlines;
   /// When the step has to be begun for its job to be done in time.
-  Instant begin_by;
+  Instant start_by;
   /// Processor time of the tasks that wait, as declared.
   Duration work{0};
   /// Its room is taken and stands empty until the answer.
--- a/packages/jobs/src/unit.h
+++ b/packages/jobs/src/unit.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "job_table.h"
-#include "lateness.h"
+#include "start_deadlines.h"
 
 namespace mustardproxy::jobs {
 
@@ -21,11 +21,11 @@
   bool quarantined = false;
   /// Since when that task has waited.
   Instant waits_since;
-  BeginLimits limits;
-  Lateness lateness = Lateness::kInTime;
+  StartDeadlines deadlines;
+  DeadlineStatus deadline_status = DeadlineStatus::kOnTime;
   /// When the step has to be begun for the job to be done in time: a gang's
   /// room has to be gathered before it can start.
-  Instant begin_by;
+  Instant start_by;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -12,13 +12,13 @@
 /// Most lines a second: a fortieth of what the log takes.
 constexpr std::int32_t kMaxLines = 50;
 
-std::string_view Name(Lateness lateness) {
-  switch (lateness) {
-    case Lateness::kInTime:
+std::string_view Name(DeadlineStatus deadline_status) {
+  switch (deadline_status) {
+    case DeadlineStatus::kOnTime:
       return "in-time";
-    case Lateness::kLate:
+    case DeadlineStatus::kLate:
       return "late";
-    case Lateness::kWorthless:
+    case DeadlineStatus::kExpired:
       break;
   }
   return "worthless";
@@ -125,7 +125,7 @@
        {"until", Name(facts.End())},
        {"tasks", unit.tasks.size()},
        {"needed", facts.needed},
-       {"lateness", Name(unit.lateness)},
+       {"lateness", Name(unit.deadline_status)},
        {"eligible", facts.eligible},
        {"permitted", facts.permitted},
        {"refused", facts.refused},
--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -18,14 +18,15 @@
 
 struct Fixture {
   void Push(const std::string& job, Duration work,
-            Lateness lateness = Lateness::kInTime,
+            DeadlineStatus deadline_status = DeadlineStatus::kOnTime,
             Duration decision = milliseconds(600)) {
     AdviceNeed need;
     need.step.job = JobId(job);
     need.policy.decision = decision;
-    if (lateness != Lateness::kInTime) need.limits.in_time = kNow - seconds(1);
-    if (lateness == Lateness::kWorthless)
-      need.limits.any_worth = kNow - seconds(1);
+    if (deadline_status != DeadlineStatus::kOnTime)
+      need.deadlines.on_time = kNow - seconds(1);
+    if (deadline_status == DeadlineStatus::kExpired)
+      need.deadlines.useful = kNow - seconds(1);
     need.work = work;
     need.capacity_reserved = this->capacity_reserved;
     this->queue.Push(need, kNow);
@@ -58,7 +59,7 @@
   capacity_reserved = true;
   Push("has-room", seconds(1));
   capacity_reserved = false;
-  Push("short", seconds(1), Lateness::kInTime, milliseconds(20));
+  Push("short", seconds(1), DeadlineStatus::kOnTime, milliseconds(20));
   BOOST_TEST(SendAll() == (Order{"short", "has-room", "wide"}),
              boost::test_tools::per_element());
 }
@@ -69,8 +70,8 @@
 BOOST_AUTO_TEST_CASE(what_pays_most_goes_first) {
   // The oldest has the first turn.
   Push("oldest", seconds(1));
-  Push("hopeless", seconds(900), Lateness::kWorthless);
-  Push("late", seconds(100), Lateness::kLate);
+  Push("hopeless", seconds(900), DeadlineStatus::kExpired);
+  Push("late", seconds(100), DeadlineStatus::kLate);
   Push("narrow", seconds(30));
   Push("wide", seconds(90));
   queue.Sort(kNow);
@@ -85,8 +86,8 @@
 
 BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_a_dear_one) {
   Push("oldest", seconds(1));
-  Push("dear", seconds(100), Lateness::kInTime, milliseconds(600));
-  Push("cheap", seconds(60), Lateness::kInTime, milliseconds(200));
+  Push("dear", seconds(100), DeadlineStatus::kOnTime, milliseconds(600));
+  Push("cheap", seconds(60), DeadlineStatus::kOnTime, milliseconds(200));
   queue.Take(0);
   queue.NoteLongSent();
   queue.Sort(kNow);
@@ -112,7 +113,7 @@
 // What nobody waits for any more is older than all others, and takes none of
 // the time of what is only late; but it ends.
 BOOST_AUTO_TEST_CASE(what_is_hopeless_has_few_turns) {
-  Push("hopeless", seconds(1), Lateness::kWorthless);
+  Push("hopeless", seconds(1), DeadlineStatus::kExpired);
   queue.NoteLongSent();
   std::vector<std::string> sent;
   for (int i = 0; i < 20; ++i) {
@@ -127,10 +128,10 @@
 
 // A step that could be in time when it was asked for has waited, and is late.
 BOOST_AUTO_TEST_CASE(hope_is_that_of_the_moment) {
-  const BeginLimits limits{.in_time = kNow, .any_worth = kNow + seconds(5)};
-  BOOST_TEST((limits.At(kNow) == Lateness::kInTime));
-  BOOST_TEST((limits.At(kNow + seconds(1)) == Lateness::kLate));
-  BOOST_TEST((limits.At(kNow + seconds(6)) == Lateness::kWorthless));
+  const StartDeadlines deadlines{.on_time = kNow, .useful = kNow + seconds(5)};
+  BOOST_TEST((deadlines.At(kNow) == DeadlineStatus::kOnTime));
+  BOOST_TEST((deadlines.At(kNow + seconds(1)) == DeadlineStatus::kLate));
+  BOOST_TEST((deadlines.At(kNow + seconds(6)) == DeadlineStatus::kExpired));
 }
 
 BOOST_AUTO_TEST_CASE(questions_of_a_job_that_is_gone_are_dropped) {
