--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -39,7 +39,7 @@
 
 /// Moves workers on which one of the tasks failed last to the end.
 /// @return how many candidates come before them
-std::size_t PutFailedLast(const Unit& unit,
+std::size_t PutFailedLast(const SchedulingUnit& unit,
                           std::vector<Candidate>* candidates) {
   const auto failed_there = [&](const Candidate& candidate) {
     const WorkerId& worker = candidate.capacity->session->Incarnation().id;
@@ -64,7 +64,7 @@
 }
 
 /// @return how many of the unit's tasks the candidates take now
-std::int64_t CountPlaceableTasks(const Unit& unit,
+std::int64_t CountPlaceableTasks(const SchedulingUnit& unit,
                                  const std::vector<Candidate>& candidates) {
   std::int64_t room = 0;
   for (const Candidate& one : candidates) {
@@ -92,26 +92,28 @@
   const Instant now = this->context->executor->Now();
   this->last_pass = now;
   this->NoteSilent();
-  std::vector<Unit> units = this->CollectUnits(now);
+  std::vector<SchedulingUnit> units = this->CollectUnits(now);
   this->NoteEjected(now);
   const PassCapacity capacities(this->context->workers);
   this->AllowForGathering(&units, capacities, now);
   std::stable_sort(
-      units.begin(), units.end(), [](const Unit& a, const Unit& b) {
+      units.begin(), units.end(),
+      [](const SchedulingUnit& a, const SchedulingUnit& b) {
         return std::tie(a.deadline_status, a.queue->priority, a.start_by) <
                std::tie(b.deadline_status, b.queue->priority, b.start_by);
       });
   // Failure: suspicious tasks that come later, and are not late yet, take each
   // worker that may be kept, and one that has waited long never starts.
-  const auto usual =
-      std::stable_partition(units.begin(), units.end(), [&](const Unit& unit) {
+  const auto usual = std::stable_partition(
+      units.begin(), units.end(), [&](const SchedulingUnit& unit) {
         return unit.quarantined && now >= unit.waits_since + kLongestTrialWait;
       });
-  std::stable_sort(units.begin(), usual, [](const Unit& a, const Unit& b) {
-    return a.waits_since < b.waits_since;
-  });
+  std::stable_sort(units.begin(), usual,
+                   [](const SchedulingUnit& a, const SchedulingUnit& b) {
+                     return a.waits_since < b.waits_since;
+                   });
   std::int32_t holds = 0;
-  for (Unit& unit : units) {
+  for (SchedulingUnit& unit : units) {
     this->PlaceUnit(&unit, capacities, now);
     if (unit.tasks.empty()) continue;
     if (this->waits.Due(unit, now)) {
@@ -149,16 +151,16 @@
   }
 }
 
-std::vector<Unit> Dispatcher::CollectUnits(Instant now) {
-  std::vector<Unit> units;
+std::vector<SchedulingUnit> Dispatcher::CollectUnits(Instant now) {
+  std::vector<SchedulingUnit> units;
   for (JobEntry* entry : this->context->jobs.Active()) {
     this->CollectUnits(entry, now, &units);
   }
   return units;
 }
 
-Unit Dispatcher::MakeUnit(JobEntry* entry, const StepRef& ref) const {
-  Unit unit;
+SchedulingUnit Dispatcher::MakeUnit(JobEntry* entry, const StepRef& ref) const {
+  SchedulingUnit unit;
   unit.entry = entry;
   unit.queue = &this->context->QueueOf(*entry);
   unit.ref = ref;
@@ -169,7 +171,7 @@
 }
 
 void Dispatcher::CollectUnits(JobEntry* entry, Instant now,
-                              std::vector<Unit>* units) {
+                              std::vector<SchedulingUnit>* units) {
   // The same for all steps of the job.
   std::optional<Duration> objective;
   for (const auto& [number, occurrence] : entry->occurrences) {
@@ -181,18 +183,20 @@
       std::vector<std::int32_t> tasks =
           JobTable::Startable(*entry, progress, index, now);
       if (tasks.empty()) continue;
-      Unit unit = this->MakeUnit(entry, {entry->job.id, number, index});
+      SchedulingUnit unit =
+          this->MakeUnit(entry, {entry->job.id, number, index});
       unit.tasks = std::move(tasks);
       if (!objective) objective = this->Objective(unit);
       this->Rank(&unit, *objective, now);
-      std::optional<Unit> apart = this->SplitSuspicious(&unit);
+      std::optional<SchedulingUnit> apart = this->SplitSuspicious(&unit);
       if (apart) units->push_back(std::move(*apart));
       if (!unit.tasks.empty()) units->push_back(std::move(unit));
     }
   }
 }
 
-std::optional<Unit> Dispatcher::SplitSuspicious(Unit* unit) const {
+std::optional<SchedulingUnit> Dispatcher::SplitSuspicious(
+    SchedulingUnit* unit) const {
   if (unit->step->gang) return std::nullopt;
   const bool may_be_silent = this->any_silent && unit->progress->open > 0;
   if (unit->entry->crashes.empty() && !may_be_silent) return std::nullopt;
@@ -210,7 +214,7 @@
   if (suspicious.empty() || this->HasQuarantined(*unit->entry)) {
     return std::nullopt;
   }
-  Unit apart = *unit;
+  SchedulingUnit apart = *unit;
   const std::int32_t task = suspicious.front();
   apart.tasks = {task};
   apart.quarantined = true;
@@ -219,7 +223,7 @@
   return apart;
 }
 
-bool Dispatcher::InDoubt(const Unit& unit) const {
+bool Dispatcher::InDoubt(const SchedulingUnit& unit) const {
   if (unit.progress->done > 0) return false;
   const auto& crashes = unit.entry->crashes;
   const bool suspicious =
@@ -237,7 +241,7 @@
   return true;
 }
 
-bool Dispatcher::MayHaveSilenced(const Unit& unit) const {
+bool Dispatcher::MayHaveSilenced(const SchedulingUnit& unit) const {
   // It takes seconds until a silent worker is known to be lost.
   const std::vector<TaskEntry>& tasks = unit.progress->tasks;
   for (std::size_t i = 0; i < tasks.size(); ++i) {
@@ -250,7 +254,7 @@
   return false;
 }
 
-const SessionRun* Dispatcher::FindRun(const Unit& unit,
+const SessionRun* Dispatcher::FindRun(const SchedulingUnit& unit,
                                       std::size_t index) const {
   const TaskRef task{unit.ref, static_cast<std::int32_t>(index)};
   return this->FindRun(task, unit.progress->tasks[index]);
@@ -289,8 +293,8 @@
   return kept < most && kept + down < 2 * most;
 }
 
-void Dispatcher::PlaceQuarantined(Unit* unit, const PassCapacity& capacities,
-                                  Instant now) {
+void Dispatcher::PlaceQuarantined(SchedulingUnit* unit,
+                                  const PassCapacity& capacities, Instant now) {
   if (!this->MayQuarantine()) return;
   std::vector<Candidate> candidates =
       unit->queue->advice
@@ -315,14 +319,15 @@
   this->Start(unit, {chosen->capacity->session->Incarnation()});
 }
 
-Duration Dispatcher::Objective(const Unit& unit) const {
+Duration Dispatcher::Objective(const SchedulingUnit& unit) const {
   const JobEntry& entry = *unit.entry;
   const Duration chain =
       this->context->run_times.Expect(entry.job.queue.name, entry.whole_chain);
   return Scale(chain, unit.queue->stretch) + unit.queue->target;
 }
 
-void Dispatcher::Rank(Unit* unit, Duration objective, Instant now) const {
+void Dispatcher::Rank(SchedulingUnit* unit, Duration objective,
+                      Instant now) const {
   const Instant due = unit->entry->learnt + objective;
   unit->start_by = due;
   if (unit->step->long_running) return;
@@ -335,10 +340,10 @@
   unit->deadline_status = unit->deadlines.At(now);
 }
 
-void Dispatcher::AllowForGathering(std::vector<Unit>* units,
+void Dispatcher::AllowForGathering(std::vector<SchedulingUnit>* units,
                                    const PassCapacity& capacities,
                                    Instant now) const {
-  for (Unit& unit : *units) {
+  for (SchedulingUnit& unit : *units) {
     if (!unit.step->gang || unit.deadline_status == DeadlineStatus::kExpired)
       continue;
     std::vector<Candidate> candidates =
@@ -358,12 +363,12 @@
   }
 }
 
-Instant Dispatcher::ExpectedEnd(const Unit& unit, Instant now) const {
+Instant Dispatcher::ExpectedEnd(const SchedulingUnit& unit, Instant now) const {
   return now + this->context->run_times.Expect(unit.entry->job.queue.name,
                                                unit.step->estimate);
 }
 
-void Dispatcher::AddCandidate(const Unit& unit, WorkerCapacity* room,
+void Dispatcher::AddCandidate(const SchedulingUnit& unit, WorkerCapacity* room,
                               Instant end,
                               std::vector<Candidate>* candidates) const {
   if (room->held && end > room->held_until) return;
@@ -377,7 +382,7 @@
   candidates->push_back(candidate);
 }
 
-std::vector<Candidate> Dispatcher::Candidates(const Unit& unit,
+std::vector<Candidate> Dispatcher::Candidates(const SchedulingUnit& unit,
                                               const PassCapacity& capacities,
                                               Instant now) const {
   std::vector<Candidate> candidates;
@@ -388,7 +393,7 @@
   return candidates;
 }
 
-std::vector<Candidate> Dispatcher::Permitted(const Unit& unit,
+std::vector<Candidate> Dispatcher::Permitted(const SchedulingUnit& unit,
                                              const PassCapacity& capacities,
                                              Instant now,
                                              PermitNeed need) const {
@@ -409,7 +414,7 @@
   return candidates;
 }
 
-void Dispatcher::PlaceUnit(Unit* unit, const PassCapacity& capacities,
+void Dispatcher::PlaceUnit(SchedulingUnit* unit, const PassCapacity& capacities,
                            Instant now) {
   if (!capacities.MayFitTask(unit->queue->service, *unit->step)) return;
   if (unit->quarantined) {
@@ -430,20 +435,22 @@
   this->PlaceIn(unit, this->GangCandidates(*unit, capacities, now));
 }
 
-bool Dispatcher::HasCapacity(const Unit& unit, const PassCapacity& capacities,
+bool Dispatcher::HasCapacity(const SchedulingUnit& unit,
+                             const PassCapacity& capacities,
                              Instant now) const {
   return CountPlaceableTasks(unit,
                              this->GangCandidates(unit, capacities, now)) >=
          std::ssize(unit.tasks);
 }
 
-bool Dispatcher::MayReserveCapacity(const Unit& unit,
+bool Dispatcher::MayReserveCapacity(const SchedulingUnit& unit,
                                     const PassCapacity& capacities) const {
   return this->context->reservations->MayAdd(
       capacities.Capacity(unit.queue->service).cpu_milli);
 }
 
-void Dispatcher::PlaceIn(Unit* unit, std::vector<Candidate> candidates) {
+void Dispatcher::PlaceIn(SchedulingUnit* unit,
+                         std::vector<Candidate> candidates) {
   if (candidates.empty()) return;
   // Failure: a worker fails part of what it runs, and the task that failed
   // there goes back to it until its attempts are used up.
@@ -461,7 +468,7 @@
   }
 }
 
-void Dispatcher::Start(Unit* unit,
+void Dispatcher::Start(SchedulingUnit* unit,
                        const std::vector<WorkerIncarnation>& workers) {
   const std::span<const std::int32_t> tasks(unit->tasks.data(), workers.size());
   const std::vector<RunRef> runs =
@@ -472,7 +479,7 @@
                     unit->tasks.begin() + std::ssize(workers));
 }
 
-void Dispatcher::ConsiderAdvice(const Unit& unit,
+void Dispatcher::ConsiderAdvice(const SchedulingUnit& unit,
                                 const PassCapacity& capacities, Instant now) {
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice != nullptr) {
@@ -490,7 +497,8 @@
 }
 
 std::vector<AskedWorker> Dispatcher::WorkersToAsk(
-    const Unit& unit, const PassCapacity& capacities, Instant now) const {
+    const SchedulingUnit& unit, const PassCapacity& capacities,
+    Instant now) const {
   // Failure: what decides whether to ask and what decides whether to take room
   // count different permissions, and a gang that has enough for the one and too
   // little for the other waits for good. So a gang takes its room or asks, and
@@ -528,7 +536,7 @@
   if (entry == nullptr || IsFinal(entry->state)) return {};
   if (!entry->occurrences.contains(ref.occurrence)) return {};
   const Instant now = this->context->executor->Now();
-  Unit unit = this->MakeUnit(entry, ref);
+  SchedulingUnit unit = this->MakeUnit(entry, ref);
   unit.tasks = JobTable::Startable(*entry, *unit.progress, ref.step, now);
   const bool known = this->context->advice->Find(ref) != nullptr;
   if (unit.tasks.empty() || !unit.queue->advice || !known) return {};
@@ -536,21 +544,22 @@
 }
 
 std::vector<Candidate> Dispatcher::GangCandidates(
-    const Unit& unit, const PassCapacity& capacities, Instant now) const {
+    const SchedulingUnit& unit, const PassCapacity& capacities,
+    Instant now) const {
   return unit.queue->advice
              ? this->Permitted(unit, capacities, now, PermitNeed::kKnown)
              : this->Candidates(unit, capacities, now);
 }
 
-void Dispatcher::HoldForGang(const Unit& unit, const PassCapacity& capacities,
-                             Instant now) {
+void Dispatcher::HoldForGang(const SchedulingUnit& unit,
+                             const PassCapacity& capacities, Instant now) {
   std::vector<Candidate> candidates =
       this->GangCandidates(unit, capacities, now);
   HoldCapacity(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
                candidates, now);
 }
 
-WaitFacts Dispatcher::LookAtWait(const Unit& unit,
+WaitFacts Dispatcher::LookAtWait(const SchedulingUnit& unit,
                                  const PassCapacity& capacities,
                                  Instant now) const {
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -10,7 +10,7 @@
 #include "pass_capacity.h"
 #include "permission_broker.h"
 #include "placement.h"
-#include "unit.h"
+#include "scheduling_unit.h"
 #include "wait_report.h"
 
 namespace mustardproxy::jobs {
@@ -41,71 +41,75 @@
   void NoteSilent();
   /// Takes note of the workers whose health has changed.
   void NoteEjected(Instant now);
-  std::vector<Unit> CollectUnits(Instant now);
-  void CollectUnits(JobEntry* entry, Instant now, std::vector<Unit>* units);
+  std::vector<SchedulingUnit> CollectUnits(Instant now);
+  void CollectUnits(JobEntry* entry, Instant now,
+                    std::vector<SchedulingUnit>* units);
   /// Takes the suspicious tasks out of a unit, and all others while it is not
   /// known whether these are sound.
   /// @return a unit of the one that may start next, if any
-  std::optional<Unit> SplitSuspicious(Unit* unit) const;
+  std::optional<SchedulingUnit> SplitSuspicious(SchedulingUnit* unit) const;
   /// @return true if a task of the step is suspicious and none is known to be
   ///   sound
-  bool InDoubt(const Unit& unit) const;
+  bool InDoubt(const SchedulingUnit& unit) const;
   /// @return true if a worker fell silent that was told to start a run of the
   ///   step, and was not seen running it
-  bool MayHaveSilenced(const Unit& unit) const;
+  bool MayHaveSilenced(const SchedulingUnit& unit) const;
   /// @return the run of a task if it is open, else null
   const SessionRun* FindRun(const TaskRef& ref, const TaskEntry& task) const;
-  const SessionRun* FindRun(const Unit& unit, std::size_t index) const;
+  const SessionRun* FindRun(const SchedulingUnit& unit,
+                            std::size_t index) const;
   /// @return true if a worker is kept for a task of the job
   bool HasQuarantined(const JobEntry& entry) const;
   /// @return the time from a job's acceptance in which it should be done
-  Duration Objective(const Unit& unit) const;
-  void Rank(Unit* unit, Duration objective, Instant now) const;
-  void AllowForGathering(std::vector<Unit>* units,
+  Duration Objective(const SchedulingUnit& unit) const;
+  void Rank(SchedulingUnit* unit, Duration objective, Instant now) const;
+  void AllowForGathering(std::vector<SchedulingUnit>* units,
                          const PassCapacity& capacities, Instant now) const;
-  void PlaceUnit(Unit* unit, const PassCapacity& capacities, Instant now);
+  void PlaceUnit(SchedulingUnit* unit, const PassCapacity& capacities,
+                 Instant now);
   /// @return true if a gang's room is there, permissions that have lapsed aside
-  bool HasCapacity(const Unit& unit, const PassCapacity& capacities,
+  bool HasCapacity(const SchedulingUnit& unit, const PassCapacity& capacities,
                    Instant now) const;
   /// @return true if one more gang may take its room before it asks
-  bool MayReserveCapacity(const Unit& unit,
+  bool MayReserveCapacity(const SchedulingUnit& unit,
                           const PassCapacity& capacities) const;
   /// Starts a suspicious task where the fewest others run.
-  void PlaceQuarantined(Unit* unit, const PassCapacity& capacities,
+  void PlaceQuarantined(SchedulingUnit* unit, const PassCapacity& capacities,
                         Instant now);
   /// @return true if one more worker may be kept for a suspicious task
   bool MayQuarantine() const;
   /// Starts what fits of the unit, a gang only whole.
-  void PlaceIn(Unit* unit, std::vector<Candidate> candidates);
+  void PlaceIn(SchedulingUnit* unit, std::vector<Candidate> candidates);
   /// Rooms that the step may use, permissions aside.
-  std::vector<Candidate> Candidates(const Unit& unit,
+  std::vector<Candidate> Candidates(const SchedulingUnit& unit,
                                     const PassCapacity& capacities,
                                     Instant now) const;
   /// Rooms on workers that may run the step.
-  std::vector<Candidate> Permitted(const Unit& unit,
+  std::vector<Candidate> Permitted(const SchedulingUnit& unit,
                                    const PassCapacity& capacities, Instant now,
                                    PermitNeed need) const;
   /// Rooms that a gang may use, whether its permissions have lapsed or not.
-  std::vector<Candidate> GangCandidates(const Unit& unit,
+  std::vector<Candidate> GangCandidates(const SchedulingUnit& unit,
                                         const PassCapacity& capacities,
                                         Instant now) const;
-  void AddCandidate(const Unit& unit, WorkerCapacity* room, Instant end,
-                    std::vector<Candidate>* candidates) const;
+  void AddCandidate(const SchedulingUnit& unit, WorkerCapacity* room,
+                    Instant end, std::vector<Candidate>* candidates) const;
   /// @return workers that a question about the step would be about; none if it
   ///   would not help
-  std::vector<AskedWorker> WorkersToAsk(const Unit& unit,
+  std::vector<AskedWorker> WorkersToAsk(const SchedulingUnit& unit,
                                         const PassCapacity& capacities,
                                         Instant now) const;
-  Instant ExpectedEnd(const Unit& unit, Instant now) const;
-  void Start(Unit* unit, const std::vector<WorkerIncarnation>& workers);
-  void ConsiderAdvice(const Unit& unit, const PassCapacity& capacities,
-                      Instant now);
-  void HoldForGang(const Unit& unit, const PassCapacity& capacities,
+  Instant ExpectedEnd(const SchedulingUnit& unit, Instant now) const;
+  void Start(SchedulingUnit* unit,
+             const std::vector<WorkerIncarnation>& workers);
+  void ConsiderAdvice(const SchedulingUnit& unit,
+                      const PassCapacity& capacities, Instant now);
+  void HoldForGang(const SchedulingUnit& unit, const PassCapacity& capacities,
                    Instant now);
   /// @return what a step that waits has
-  WaitFacts LookAtWait(const Unit& unit, const PassCapacity& capacities,
-                       Instant now) const;
-  Unit MakeUnit(JobEntry* entry, const StepRef& ref) const;
+  WaitFacts LookAtWait(const SchedulingUnit& unit,
+                       const PassCapacity& capacities, Instant now) const;
+  SchedulingUnit MakeUnit(JobEntry* entry, const StepRef& ref) const;
 
   OwnerContext* context;
   WaitReport waits;
--- a/packages/jobs/src/unit.h
+++ b/packages/jobs/src/scheduling_unit.h
@@ -1,5 +1,5 @@
-#ifndef MUSTARDPROXY_JOBS_UNIT_H_
-#define MUSTARDPROXY_JOBS_UNIT_H_
+#ifndef MUSTARDPROXY_JOBS_SCHEDULING_UNIT_H_
+#define MUSTARDPROXY_JOBS_SCHEDULING_UNIT_H_
 
 #include <cstdint>
 #include <vector>
@@ -10,7 +10,7 @@
 namespace mustardproxy::jobs {
 
 /// Tasks of one step that may start now.
-struct Unit {
+struct SchedulingUnit {
   JobEntry* entry = nullptr;
   const Queue* queue = nullptr;
   const Step* step = nullptr;
@@ -30,4 +30,4 @@
 
 }  // namespace mustardproxy::jobs
 
-#endif  // MUSTARDPROXY_JOBS_UNIT_H_
+#endif  // MUSTARDPROXY_JOBS_SCHEDULING_UNIT_H_
--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -101,7 +101,7 @@
 WaitReport::WaitReport(EventLog* log, Metrics* metrics)
     : log(log), metrics(metrics) {}
 
-bool WaitReport::Due(const Unit& unit, Instant now) {
+bool WaitReport::Due(const SchedulingUnit& unit, Instant now) {
   Instant& report_after = unit.progress->report_after;
   if (report_after == Instant()) report_after = now + kPause;
   if (now < report_after) return false;
@@ -115,7 +115,8 @@
   return true;
 }
 
-void WaitReport::Write(const Unit& unit, const WaitFacts& facts, Instant now) {
+void WaitReport::Write(const SchedulingUnit& unit, const WaitFacts& facts,
+                       Instant now) {
   const std::string_view reason = Name(facts.Reason());
   this->log->Write(
       "jobs", "step-waits",
--- a/packages/jobs/src/wait_report.h
+++ b/packages/jobs/src/wait_report.h
@@ -9,7 +9,7 @@
 #include "mustardproxy/telemetry/event_log.h"
 #include "mustardproxy/telemetry/metrics.h"
 #include "placement.h"
-#include "unit.h"
+#include "scheduling_unit.h"
 
 namespace mustardproxy::jobs {
 
@@ -103,8 +103,8 @@
   WaitReport(EventLog* log, Metrics* metrics);
 
   /// @return true if the step has waited and is to be reported now
-  [[nodiscard]] bool Due(const Unit& unit, Instant now);
-  void Write(const Unit& unit, const WaitFacts& facts, Instant now);
+  [[nodiscard]] bool Due(const SchedulingUnit& unit, Instant now);
+  void Write(const SchedulingUnit& unit, const WaitFacts& facts, Instant now);
 
  private:
   EventLog* log;
