--- a/packages/jobs/src/ask_choice.h
+++ b/packages/jobs/src/advice_selection.h
@@ -1,5 +1,5 @@
-#ifndef MUSTARDPROXY_JOBS_ASK_CHOICE_H_
-#define MUSTARDPROXY_JOBS_ASK_CHOICE_H_
+#ifndef MUSTARDPROXY_JOBS_ADVICE_SELECTION_H_
+#define MUSTARDPROXY_JOBS_ADVICE_SELECTION_H_
 
 #include <cstdint>
 #include <span>
@@ -12,7 +12,7 @@
 namespace mustardproxy::jobs {
 
 /// A step that needs permissions, seen when a question about it could be sent.
-struct AskWish {
+struct AdviceSelectionInput {
   const Step* step = nullptr;
   /// How many of its tasks may start now.
   std::int64_t tasks = 0;
@@ -20,10 +20,10 @@
   /// Which share of the workers asked about is permitted as a rule.
   double permitted_share = 0.0;
   /// So many workers cost as much as a question's fixed part.
-  std::size_t cheap_workers = 0;
+  std::size_t workers_per_fixed_cost = 0;
   Instant now;
   /// When the answer should have come.
-  Instant answered;
+  Instant answer_due;
 };
 
 /// Chooses the workers to ask the policy service about. What it said of a
@@ -38,9 +38,9 @@
 ///
 /// @param candidates rooms that the step may use, permissions aside
 /// @return none if a question would not help now
-[[nodiscard]] std::vector<AskedWorker> ChooseAsked(
-    const AskWish& wish, std::span<const Candidate> candidates);
+[[nodiscard]] std::vector<AskedWorker> SelectWorkersToAsk(
+    const AdviceSelectionInput& input, std::span<const Candidate> candidates);
 
 }  // namespace mustardproxy::jobs
 
-#endif  // MUSTARDPROXY_JOBS_ASK_CHOICE_H_
+#endif  // MUSTARDPROXY_JOBS_ADVICE_SELECTION_H_
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "ask_choice.h"
+#include "advice_selection.h"
 #include "gang_hold.h"
 #include "gang_reservations.h"
 #include "options.h"
@@ -506,26 +506,26 @@
   if (unit.step->gang && this->HasCapacity(unit, capacities, now)) return {};
   const AdvicePolicy& policy = *unit.queue->advice;
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
-  AskWish wish;
-  wish.step = unit.step;
-  wish.tasks = tasks;
-  wish.advice = this->context->advice->Find(unit.ref);
-  wish.permitted_share =
+  AdviceSelectionInput input;
+  input.step = unit.step;
+  input.tasks = tasks;
+  input.advice = this->context->advice->Find(unit.ref);
+  input.permitted_share =
       this->context->advice->PermittedShare(unit.queue->name);
   if (policy.per_worker > Duration::zero()) {
-    wish.cheap_workers =
+    input.workers_per_fixed_cost =
         static_cast<std::size_t>(policy.decision / policy.per_worker);
   }
-  wish.now = now;
-  wish.answered = now + policy.decision + policy.per_worker * tasks;
+  input.now = now;
+  input.answer_due = now + policy.decision + policy.per_worker * tasks;
   std::vector<Candidate> candidates;
-  const Instant end = this->ExpectedEnd(unit, wish.answered);
+  const Instant end = this->ExpectedEnd(unit, input.answer_due);
   for (WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
     if (room->held && end > room->held_until) continue;
     if (!room->session->HasLabel(unit.step->required_label)) continue;
     candidates.push_back({.capacity = room});
   }
-  return ChooseAsked(wish, candidates);
+  return SelectWorkersToAsk(input, candidates);
 }
 
 std::vector<AskedWorker> Dispatcher::ChooseForAdvice(const StepRef& ref) {
--- a/packages/jobs/tests/ask_choice_test.cc
+++ b/packages/jobs/tests/advice_selection_test.cc
@@ -1,4 +1,4 @@
-#include "ask_choice.h"
+#include "advice_selection.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -15,7 +15,7 @@
 using job_sim::MakeStep;
 
 constexpr Instant kNow{seconds(1000)};
-constexpr Instant kAnswered = kNow + milliseconds(600);
+constexpr Instant kAnswerDue = kNow + milliseconds(600);
 
 /// Workers with room for some tasks of 1000 thousandths of a processor each.
 struct Fixture {
@@ -38,20 +38,20 @@
   std::vector<SessionNumber> Choose(std::int32_t tasks, bool gang) {
     Step step = MakeStep(tasks, 1000, seconds(1));
     step.gang = gang;
-    AskWish wish;
-    wish.step = &step;
-    wish.tasks = tasks;
-    wish.advice = &this->advice;
-    wish.permitted_share = 0.5;
-    wish.cheap_workers = this->cheap_workers;
-    wish.now = kNow;
-    wish.answered = kAnswered;
+    AdviceSelectionInput input;
+    input.step = &step;
+    input.tasks = tasks;
+    input.advice = &this->advice;
+    input.permitted_share = 0.5;
+    input.workers_per_fixed_cost = this->workers_per_fixed_cost;
+    input.now = kNow;
+    input.answer_due = kAnswerDue;
     std::vector<Candidate> candidates;
     for (const auto& room : this->capacities) {
       candidates.push_back({.capacity = room.get()});
     }
     std::vector<SessionNumber> chosen;
-    for (const AskedWorker& worker : ChooseAsked(wish, candidates)) {
+    for (const AskedWorker& worker : SelectWorkersToAsk(input, candidates)) {
       chosen.push_back(worker.session);
     }
     return chosen;
@@ -60,7 +60,7 @@
   std::vector<std::unique_ptr<WorkerSession>> sessions;
   std::vector<std::unique_ptr<WorkerCapacity>> capacities;
   StepAdvice advice;
-  std::size_t cheap_workers = 0;
+  std::size_t workers_per_fixed_cost = 0;
 };
 
 bool Contains(const std::vector<SessionNumber>& all, SessionNumber one) {
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ask_choice, Fixture)
+BOOST_FIXTURE_TEST_SUITE(advice_selection, Fixture)
 
 BOOST_AUTO_TEST_CASE(a_first_question_is_about_those_with_most_room) {
   for (int i = 0; i < 20; ++i) Add(1);
@@ -111,7 +111,7 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_that_does_not_fit_there_learns_of_others) {
   for (int i = 0; i < 30; ++i) Add(1);
-  for (SessionNumber i = 0; i < 4; ++i) Permit(i, kAnswered + seconds(1));
+  for (SessionNumber i = 0; i < 4; ++i) Permit(i, kAnswerDue + seconds(1));
   const auto chosen = Choose(8, true);
   BOOST_TEST(chosen.size() >= 8U);
   for (const SessionNumber one : chosen) BOOST_TEST(one >= 4U);
@@ -122,16 +122,16 @@
 BOOST_AUTO_TEST_CASE(a_gang_learns_of_full_workers_too) {
   for (int i = 0; i < 40; ++i) Add(0);
   Add(1);
-  Permit(40, kAnswered + seconds(1));
-  cheap_workers = 30;
+  Permit(40, kAnswerDue + seconds(1));
+  workers_per_fixed_cost = 30;
   BOOST_TEST(Choose(8, true).size() == 40U);
   BOOST_TEST(Choose(8, false).empty());
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_asked_while_permissions_hold_for_all) {
   for (int i = 0; i < 10; ++i) Add(4);
-  Permit(0, kAnswered + seconds(1));
-  Permit(1, kAnswered + seconds(1));
+  Permit(0, kAnswerDue + seconds(1));
+  Permit(1, kAnswerDue + seconds(1));
   BOOST_TEST(Choose(8, false).empty());
   BOOST_TEST(!Choose(9, false).empty());
 }
@@ -140,11 +140,11 @@
 // workers use the policy service less than many about few.
 BOOST_AUTO_TEST_CASE(dear_questions_are_about_many_workers) {
   for (int i = 0; i < 200; ++i) Add(4);
-  cheap_workers = 60;
+  workers_per_fixed_cost = 60;
   BOOST_TEST(Choose(2, false).size() == 30U);
-  Permit(0, kAnswered + seconds(1));
+  Permit(0, kAnswerDue + seconds(1));
   BOOST_TEST(Choose(8, true).size() == 60U);
-  cheap_workers = 500;
+  workers_per_fixed_cost = 500;
   BOOST_TEST(Choose(8, true).size() == kMaxAdviceWorkers);
 }
 
