--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -487,7 +487,7 @@
     unit.progress->ask_after = now + kAskPause;
     if (this->WorkersToAsk(unit, capacities, now).empty()) return;
   }
-  this->context->advice->Want(
+  this->context->advice->RequestPermissions(
       {.step = unit.ref,
        .queue = unit.queue->name,
        .policy = *unit.queue->advice,
--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -175,12 +175,13 @@
   if (entry == nullptr) return;
   const Queue& queue = this->context->QueueOf(*entry);
   if (!queue.advice) return;
-  this->context->advice->Want({.step = step,
-                               .queue = queue.name,
-                               .policy = *queue.advice,
-                               .deadlines = {},
-                               .start_by = this->reservations.at(step).since,
-                               .capacity_reserved = true});
+  this->context->advice->RequestPermissions(
+      {.step = step,
+       .queue = queue.name,
+       .policy = *queue.advice,
+       .deadlines = {},
+       .start_by = this->reservations.at(step).since,
+       .capacity_reserved = true});
 }
 
 void GangReservations::GiveUp(const StepRef& step, std::string_view reason) {
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -128,8 +128,8 @@
   this->dispatcher->SchedulePass();
 }
 
-void GroupOwner::SetLanes(const std::vector<AdviceLane>& lanes) {
-  this->advice->SetLanes(lanes);
+void GroupOwner::SetClients(const std::vector<AdviceClient>& clients) {
+  this->advice->SetClients(clients);
 }
 
 void GroupOwner::OnIntake(const StoreEvent& event) {
--- a/packages/jobs/src/group_owner.h
+++ b/packages/jobs/src/group_owner.h
@@ -56,7 +56,7 @@
 
   void Start();
   void SetDesired(std::shared_ptr<const DesiredState> desired);
-  void SetLanes(const std::vector<AdviceLane>& lanes);
+  void SetClients(const std::vector<AdviceClient>& clients);
   /// @return true once all that is stored has been read
   [[nodiscard]] bool Loaded() const { return this->loaded; }
   /// @return true if it has heard lately which jobs were accepted; a former
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -173,12 +173,12 @@
 
 void JobNode::Internals::OnCellChange() {
   if (!this->owner) return;
-  std::vector<AdviceLane> lanes;
+  std::vector<AdviceClient> clients;
   for (const auto& [name, other] : this->member.Nodes()) {
     const bool self = name == this->given.process;
-    lanes.push_back({name, self ? std::string() : other.node.peer_address});
+    clients.push_back({name, self ? std::string() : other.node.peer_address});
   }
-  this->owner->SetLanes(lanes);
+  this->owner->SetClients(clients);
 }
 
 std::vector<std::string> JobNode::Internals::Helpers() {
--- a/packages/jobs/src/permission_broker.cc
+++ b/packages/jobs/src/permission_broker.cc
@@ -11,19 +11,19 @@
 
 /// Weight of one answer in the share of workers that are permitted, and the
 /// share assumed before the first.
-constexpr double kShareWeight = 0.05;
-constexpr double kFirstShare = 0.4;
+constexpr double kPermittedShareWeight = 0.05;
+constexpr double kInitialPermittedShare = 0.4;
 /// Processes kept for short questions: so many beside twice those that these
 /// have kept busy lately, and no more than one of three. A burst of urgent
 /// steps needs three times as many as the usual load; kept for it all the time,
 /// they are missing where questions take a second.
-constexpr double kSpareShortLanes = 1.0;
-constexpr double kShortLanesPerBusy = 2.0;
-constexpr std::size_t kLanesPerShortLane = 3;
+constexpr double kSpareShortClients = 1.0;
+constexpr double kShortClientsPerBusy = 2.0;
+constexpr std::size_t kClientsPerShortClient = 3;
 /// Over which time "lately" goes.
-constexpr Duration kLoadMemory = milliseconds(1500);
+constexpr Duration kLoadDecayTime = milliseconds(1500);
 
-std::pair<std::int32_t, std::int32_t> NumberOf(const StepRef& step) {
+std::pair<std::int32_t, std::int32_t> StepNumberOf(const StepRef& step) {
   return {step.occurrence, step.step};
 }
 
@@ -49,11 +49,11 @@
 /// @param steps advice by job, and then by occurrence and step
 /// @return what is known of a step, or null
 template <typename Steps>
-auto* FindIn(Steps& steps, const StepRef& step) {
+auto* FindAdvice(Steps& steps, const StepRef& step) {
   const auto job = steps.find(step.job);
   using Found = decltype(&job->second.begin()->second);
   if (job == steps.end()) return Found{nullptr};
-  const auto found = job->second.find(NumberOf(step));
+  const auto found = job->second.find(StepNumberOf(step));
   return found == job->second.end() ? nullptr : &found->second;
 }
 
@@ -64,22 +64,22 @@
 
 }  // namespace
 
-void ShortLoad::Note(Instant now, Duration took) {
+void ShortQuestionLoad::Note(Instant now, Duration took) {
   this->busy = this->BusyAt(now) + static_cast<double>(took.count());
   this->noted = now;
 }
 
-double ShortLoad::BusyAt(Instant now) const {
+double ShortQuestionLoad::BusyAt(Instant now) const {
   const auto passed = static_cast<double>((now - this->noted).count());
   return this->busy *
-         std::exp(-passed / static_cast<double>(kLoadMemory.count()));
+         std::exp(-passed / static_cast<double>(kLoadDecayTime.count()));
 }
 
-std::size_t ShortLoad::LanesToKeep(Instant now) const {
-  const double lanes =
-      this->BusyAt(now) / static_cast<double>(kLoadMemory.count());
+std::size_t ShortQuestionLoad::ClientsToReserve(Instant now) const {
+  const double clients =
+      this->BusyAt(now) / static_cast<double>(kLoadDecayTime.count());
   return static_cast<std::size_t>(
-      std::ceil(kSpareShortLanes + kShortLanesPerBusy * lanes));
+      std::ceil(kSpareShortClients + kShortClientsPerBusy * clients));
 }
 
 const Ticket* StepAdvice::TicketFor(SessionNumber session) const {
@@ -100,33 +100,33 @@
       chooser(std::move(chooser)),
       on_answer(std::move(on_answer)) {}
 
-void PermissionBroker::SetLanes(const std::vector<AdviceLane>& present) {
-  std::map<ProcessId, Lane> kept;
-  for (const AdviceLane& lane : present) {
-    Lane& entry = kept[lane.process];
-    const auto former = this->lanes.find(lane.process);
-    const bool same =
-        former != this->lanes.end() && former->second.address == lane.address;
+void PermissionBroker::SetClients(const std::vector<AdviceClient>& present) {
+  std::map<ProcessId, Client> kept;
+  for (const AdviceClient& client : present) {
+    Client& entry = kept[client.process];
+    const auto former = this->clients.find(client.process);
+    const bool same = former != this->clients.end() &&
+                      former->second.address == client.address;
     if (same) entry = former->second;
-    entry.address = lane.address;
+    entry.address = client.address;
   }
-  this->lanes = std::move(kept);
-  this->Pump();
+  this->clients = std::move(kept);
+  this->SendWaiting();
 }
 
-void PermissionBroker::Want(const AdviceNeed& need) {
-  StepAdvice& known = this->steps[need.step.job][NumberOf(need.step)];
+void PermissionBroker::RequestPermissions(const PermissionRequest& request) {
+  StepAdvice& known = this->steps[request.step.job][StepNumberOf(request.step)];
   if (std::exchange(known.asking, true)) return;
-  this->queue.Push(need, this->parts.executor->Now());
-  this->Pump();
+  this->queue.Push(request, this->parts.executor->Now());
+  this->SendWaiting();
 }
 
 const StepAdvice* PermissionBroker::Find(const StepRef& step) const {
-  return FindIn(this->steps, step);
+  return FindAdvice(this->steps, step);
 }
 
 void PermissionBroker::DropTicket(const StepRef& step, SessionNumber session) {
-  StepAdvice* known = FindIn(this->steps, step);
+  StepAdvice* known = FindAdvice(this->steps, step);
   if (known == nullptr) return;
   for (PermittedWorker& one : known->permitted) {
     if (one.session == session) one.ticket.expires = Instant::min();
@@ -138,74 +138,76 @@
   this->queue.Forget(job);
 }
 
-PermissionBroker::Lane* PermissionBroker::FreeLane(bool long_question,
-                                                   ProcessId* process) {
+PermissionBroker::Client* PermissionBroker::FindIdleClient(bool long_question,
+                                                           ProcessId* process) {
   const Instant now = this->parts.executor->Now();
   std::size_t longs = 0;
   std::size_t usable = 0;
-  for (const auto& [name, lane] : this->lanes) {
-    if (lane.out_until > now) continue;
+  for (const auto& [name, client] : this->clients) {
+    if (client.unavailable_until > now) continue;
     ++usable;
-    if (lane.busy_with_long) ++longs;
+    if (client.busy_with_long) ++longs;
   }
   const std::size_t kept =
-      std::min(usable / kLanesPerShortLane, this->short_load.LanesToKeep(now));
+      std::min(usable / kClientsPerShortClient,
+               this->short_question_load.ClientsToReserve(now));
   if (long_question && longs >= std::max<std::size_t>(1, usable - kept)) {
     return nullptr;
   }
-  for (auto& [name, lane] : this->lanes) {
-    if (lane.busy || lane.out_until > now) continue;
+  for (auto& [name, client] : this->clients) {
+    if (client.busy || client.unavailable_until > now) continue;
     *process = name;
-    return &lane;
+    return &client;
   }
   return nullptr;
 }
 
-void PermissionBroker::Pump() {
+void PermissionBroker::SendWaiting() {
   this->queue.Sort(this->parts.executor->Now());
   for (std::size_t i = 0; i < this->queue.Size();) {
     ProcessId process;
-    const bool is_long = IsLong(this->queue.At(i).need.policy);
-    Lane* lane = this->FreeLane(is_long, &process);
-    if (lane == nullptr) {
+    const bool is_long = IsLong(this->queue.At(i).request.policy);
+    Client* client = this->FindIdleClient(is_long, &process);
+    if (client == nullptr) {
       if (!is_long) return;
       ++i;
       continue;
     }
     const WaitingQuestion waiting = this->queue.Take(i);
-    std::vector<AskedWorker> workers = this->chooser(waiting.need.step);
+    std::vector<AskedWorker> workers = this->chooser(waiting.request.step);
     if (workers.empty()) {
-      StepAdvice* known = FindIn(this->steps, waiting.need.step);
+      StepAdvice* known = FindAdvice(this->steps, waiting.request.step);
       if (known != nullptr) known->asking = false;
       continue;
     }
-    const Duration cost = Cost(waiting.need.policy, workers.size());
-    lane->busy_with_long = is_long;
-    if (is_long) this->queue.NoteLongSent();
-    this->Send(waiting, std::move(workers), process, lane, cost);
+    const Duration cost = Cost(waiting.request.policy, workers.size());
+    client->busy_with_long = is_long;
+    if (is_long) this->queue.CountLongSent();
+    this->Send(waiting, std::move(workers), process, client, cost);
   }
 }
 
 void PermissionBroker::Send(const WaitingQuestion& waiting,
                             std::vector<AskedWorker> workers,
-                            const ProcessId& process, Lane* lane,
+                            const ProcessId& process, Client* client,
                             Duration cost) {
-  lane->busy = true;
-  AdviceQuestion question{waiting.need.step, {}, cost + kAdviceTimeoutMargin};
+  client->busy = true;
+  AdviceQuestion question{
+      waiting.request.step, {}, cost + kAdviceTimeoutMargin};
   for (const AskedWorker& worker : workers) {
     question.workers.push_back(worker.id);
   }
   const Sent sent{
-      waiting.need.step,           std::move(workers), process,
-      this->parts.executor->Now(), waiting.since,      waiting.need.queue,
-      IsLong(waiting.need.policy)};
+      waiting.request.step,          std::move(workers), process,
+      this->parts.executor->Now(),   waiting.since,      waiting.request.queue,
+      IsLong(waiting.request.policy)};
   auto done = this->guard.Wrap([this, sent](const Result<Advice>& answer) {
     this->OnAnswer(sent, answer);
   });
-  if (lane->address.empty()) {
+  if (client->address.empty()) {
     this->parts.adviser->Ask(std::move(question), std::move(done));
   } else {
-    this->parts.peers->Ask(lane->address, question, std::move(done));
+    this->parts.peers->Ask(client->address, question, std::move(done));
   }
 }
 
@@ -213,40 +215,42 @@
                                 const Result<Advice>& answer) {
   const Instant now = this->parts.executor->Now();
   if (!sent.is_long) {
-    this->short_load.Note(now,
-                          std::chrono::duration_cast<Duration>(now - sent.at));
+    this->short_question_load.Note(
+        now, std::chrono::duration_cast<Duration>(now - sent.at));
   }
-  const auto lane = this->lanes.find(sent.lane);
-  if (lane != this->lanes.end()) {
-    lane->second.busy = false;
-    lane->second.busy_with_long = false;
-    if (!answer) lane->second.out_until = now + kAdviceClientBackoff;
+  const auto client = this->clients.find(sent.client);
+  if (client != this->clients.end()) {
+    client->second.busy = false;
+    client->second.busy_with_long = false;
+    if (!answer) client->second.unavailable_until = now + kAdviceClientBackoff;
   }
-  if (StepAdvice* known = FindIn(this->steps, sent.step)) {
+  if (StepAdvice* known = FindAdvice(this->steps, sent.step)) {
     known->asking = false;
     if (answer) this->Record(sent, answer.value(), known);
   }
   if (!answer) {
     this->parts.log->Write("advice", "question-failed",
                            {{"step", Text(sent.step)},
-                            {"by", sent.lane.Text()},
+                            {"by", sent.client.Text()},
                             {"reason", answer.error().message()}});
   }
   this->on_answer(sent.step);
-  this->Pump();
+  this->SendWaiting();
 }
 
 double PermissionBroker::PermittedShare(const QueueName& queue) const {
   const auto found = this->permitted_shares.find(queue);
-  return found == this->permitted_shares.end() ? kFirstShare : found->second;
+  return found == this->permitted_shares.end() ? kInitialPermittedShare
+                                               : found->second;
 }
 
-void PermissionBroker::NoteShare(const Sent& sent, const Advice& advice) {
+void PermissionBroker::UpdatePermittedShare(const Sent& sent,
+                                            const Advice& advice) {
   const double share = static_cast<double>(advice.permitted.size()) /
                        static_cast<double>(sent.workers.size());
   const auto known =
-      this->permitted_shares.emplace(sent.queue, kFirstShare).first;
-  known->second += kShareWeight * (share - known->second);
+      this->permitted_shares.emplace(sent.queue, kInitialPermittedShare).first;
+  known->second += kPermittedShareWeight * (share - known->second);
 }
 
 void PermissionBroker::Record(const Sent& sent, const Advice& advice,
@@ -265,13 +269,13 @@
              known);
     }
   }
-  this->NoteShare(sent, advice);
+  this->UpdatePermittedShare(sent, advice);
   const auto wait = std::chrono::duration_cast<Duration>(now - sent.since);
   this->parts.metrics->Sample("advice_wait_us", "queue=" + sent.queue.Text(),
                               static_cast<double>(wait.count()));
   this->parts.log->Write("advice", "permissions",
                          {{"step", Text(sent.step)},
-                          {"by", sent.lane.Text()},
+                          {"by", sent.client.Text()},
                           {"asked", sent.workers.size()},
                           {"permitted", advice.permitted.size()},
                           {"waited_ms", WholeMilliseconds(wait)},
--- a/packages/jobs/src/permission_broker.h
+++ b/packages/jobs/src/permission_broker.h
@@ -55,19 +55,19 @@
 };
 
 /// A process that can ask the policy service.
-struct AdviceLane {
+struct AdviceClient {
   ProcessId process;
   /// Empty for this process itself.
   std::string address;
 };
 
 /// How busy short questions have kept processes lately.
-class ShortLoad {
+class ShortQuestionLoad {
  public:
   /// A short question has ended.
   void Note(Instant now, Duration took);
   /// @return processes that should be kept for the next ones
-  [[nodiscard]] std::size_t LanesToKeep(Instant now) const;
+  [[nodiscard]] std::size_t ClientsToReserve(Instant now) const;
 
  private:
   [[nodiscard]] double BusyAt(Instant now) const;
@@ -101,9 +101,9 @@
 
   PermissionBroker(Parts parts, Chooser chooser, AnswerHandler on_answer);
 
-  void SetLanes(const std::vector<AdviceLane>& lanes);
+  void SetClients(const std::vector<AdviceClient>& clients);
   /// Queues a question unless one about the step is under way.
-  void Want(const AdviceNeed& need);
+  void RequestPermissions(const PermissionRequest& request);
   /// @return what is known of a step, or null
   [[nodiscard]] const StepAdvice* Find(const StepRef& step) const;
   /// @return which share of the workers asked about was permitted lately
@@ -113,16 +113,16 @@
   void ForgetJob(const JobId& job);
 
  private:
-  struct Lane {
+  struct Client {
     std::string address;
     bool busy = false;
     bool busy_with_long = false;
-    Instant out_until;
+    Instant unavailable_until;
   };
   struct Sent {
     StepRef step;
     std::vector<AskedWorker> workers;
-    ProcessId lane;
+    ProcessId client;
     Instant at;
     Instant since;
     QueueName queue;
@@ -131,24 +131,24 @@
 
   using StepNumber = std::pair<std::int32_t, std::int32_t>;
 
-  void Pump();
-  Lane* FreeLane(bool long_question, ProcessId* process);
+  void SendWaiting();
+  Client* FindIdleClient(bool long_question, ProcessId* process);
   void Send(const WaitingQuestion& waiting, std::vector<AskedWorker> workers,
-            const ProcessId& process, Lane* lane, Duration cost);
+            const ProcessId& process, Client* client, Duration cost);
   void OnAnswer(const Sent& sent, const Result<Advice>& answer);
-  void NoteShare(const Sent& sent, const Advice& advice);
+  void UpdatePermittedShare(const Sent& sent, const Advice& advice);
   void Record(const Sent& sent, const Advice& advice, StepAdvice* known);
 
   Parts parts;
   Chooser chooser;
   AnswerHandler on_answer;
-  std::map<ProcessId, Lane> lanes;
+  std::map<ProcessId, Client> clients;
   QuestionQueue queue;
   /// By job, and then by occurrence and step: a pass looks one up for each
   /// step that waits.
   std::unordered_map<JobId, std::map<StepNumber, StepAdvice>> steps;
   std::map<QueueName, double> permitted_shares;
-  ShortLoad short_load;
+  ShortQuestionLoad short_question_load;
   CallbackGuard guard;
 };
 
--- a/packages/jobs/src/question_queue.cc
+++ b/packages/jobs/src/question_queue.cc
@@ -11,24 +11,24 @@
 
 /// What work that is done late is worth to its caller, as a share of what it is
 /// worth in time: a fifth, by the users' pages.
-constexpr double kLateShare = 0.2;
+constexpr double kLateValueFraction = 0.2;
 /// One of so many long questions is the one that has waited longest.
-constexpr std::uint64_t kOldestEvery = 4;
+constexpr std::uint64_t kOldestPeriod = 4;
 /// One of so many is the oldest of all, those included that are worth nothing
 /// any more: their callers still wait for the end.
-constexpr std::uint64_t kOldestOfAllEvery = 4 * kOldestEvery;
+constexpr std::uint64_t kOldestOfAllPeriod = 4 * kOldestPeriod;
 /// What a task counts for at least that declares no processors or no time, or
 /// that runs until it is stopped.
-constexpr std::int64_t kLeastCpuMilli = 100;
-constexpr Duration kLeastRunTime = milliseconds(100);
+constexpr std::int64_t kMinTaskCpuMilli = 100;
+constexpr Duration kMinTaskRunTime = milliseconds(100);
 constexpr Duration kServiceRunTime = seconds(60);
 
-double ShareOfWorth(DeadlineStatus deadline_status) {
+double RemainingValue(DeadlineStatus deadline_status) {
   switch (deadline_status) {
     case DeadlineStatus::kOnTime:
       return 1.0;
     case DeadlineStatus::kLate:
-      return kLateShare;
+      return kLateValueFraction;
     case DeadlineStatus::kExpired:
       break;
   }
@@ -37,71 +37,71 @@
 
 /// @return worth of the work that can start, for the policy service's time. The
 ///   fixed part stands for the whole: what a question names is chosen later.
-double Pay(const AdviceNeed& need, Instant now) {
+double ValuePerCost(const PermissionRequest& request, Instant now) {
   const auto cost = static_cast<double>(
-      std::max<std::int64_t>(1, need.policy.decision.count()));
-  return ShareOfWorth(need.deadlines.At(now)) *
-         static_cast<double>(need.work.count()) / cost;
+      std::max<std::int64_t>(1, request.policy.decision.count()));
+  return RemainingValue(request.deadlines.At(now)) *
+         static_cast<double>(request.work.count()) / cost;
 }
 
-bool GoesBefore(const WaitingQuestion& a, const WaitingQuestion& b,
-                Instant now) {
-  const bool a_short = !IsLong(a.need.policy);
-  const bool b_short = !IsLong(b.need.policy);
+bool PrecedesInQueue(const WaitingQuestion& a, const WaitingQuestion& b,
+                     Instant now) {
+  const bool a_short = !IsLong(a.request.policy);
+  const bool b_short = !IsLong(b.request.policy);
   if (a_short != b_short) return a_short;
-  if (a.need.capacity_reserved != b.need.capacity_reserved)
-    return a.need.capacity_reserved;
-  const double a_pay = Pay(a.need, now);
-  const double b_pay = Pay(b.need, now);
-  return std::tie(b_pay, a.need.start_by, a.number) <
-         std::tie(a_pay, b.need.start_by, b.number);
+  if (a.request.capacity_reserved != b.request.capacity_reserved)
+    return a.request.capacity_reserved;
+  const double a_value = ValuePerCost(a.request, now);
+  const double b_value = ValuePerCost(b.request, now);
+  return std::tie(b_value, a.request.start_by, a.number) <
+         std::tie(a_value, b.request.start_by, b.number);
 }
 
 bool IsLongWithoutCapacity(const WaitingQuestion& one) {
-  return IsLong(one.need.policy) && !one.need.capacity_reserved;
+  return IsLong(one.request.policy) && !one.request.capacity_reserved;
 }
 
 }  // namespace
 
 bool IsLong(const AdvicePolicy& policy) {
-  return policy.decision >= kLongQuestion;
+  return policy.decision >= kLongQuestionThreshold;
 }
 
 Duration DeclaredWork(const Step& step, std::int64_t tasks) {
   const Duration run = step.long_running
                            ? kServiceRunTime
-                           : std::max(kLeastRunTime, step.estimate);
-  const std::int64_t cpu = std::max(kLeastCpuMilli, step.each.cpu_milli);
+                           : std::max(kMinTaskRunTime, step.estimate);
+  const std::int64_t cpu = std::max(kMinTaskCpuMilli, step.each.cpu_milli);
   return tasks * cpu * run / 1000;
 }
 
-void QuestionQueue::Push(const AdviceNeed& need, Instant now) {
-  this->waiting.push_back({need, now, this->next_number++});
+void QuestionQueue::Push(const PermissionRequest& request, Instant now) {
+  this->waiting.push_back({request, now, this->next_number++});
 }
 
 void QuestionQueue::Forget(const JobId& job) {
   std::erase_if(this->waiting, [&](const WaitingQuestion& one) {
-    return one.need.step.job == job;
+    return one.request.step.job == job;
   });
 }
 
 void QuestionQueue::Sort(Instant now) {
   std::sort(this->waiting.begin(), this->waiting.end(),
             [&](const WaitingQuestion& a, const WaitingQuestion& b) {
-              return GoesBefore(a, b, now);
+              return PrecedesInQueue(a, b, now);
             });
-  if (this->long_sent % kOldestEvery == 0) this->GiveOldestItsTurn(now);
+  if (this->long_sent % kOldestPeriod == 0) this->PromoteOldest(now);
 }
 
-void QuestionQueue::GiveOldestItsTurn(Instant now) {
+void QuestionQueue::PromoteOldest(Instant now) {
   // What is hopeless ends too, but not for the time of what is only late.
-  const bool also_hopeless = this->long_sent % kOldestOfAllEvery == 0;
+  const bool include_expired = this->long_sent % kOldestOfAllPeriod == 0;
   const auto first = std::find_if(this->waiting.begin(), this->waiting.end(),
                                   IsLongWithoutCapacity);
   auto oldest = this->waiting.end();
   for (auto one = first; one != this->waiting.end(); ++one) {
-    const bool counts = also_hopeless ||
-                        one->need.deadlines.At(now) != DeadlineStatus::kExpired;
+    const bool counts = include_expired || one->request.deadlines.At(now) !=
+                                               DeadlineStatus::kExpired;
     const bool older =
         oldest == this->waiting.end() || one->number < oldest->number;
     if (counts && older) oldest = one;
--- a/packages/jobs/src/question_queue.h
+++ b/packages/jobs/src/question_queue.h
@@ -16,11 +16,12 @@
 /// start within a quarter of a second, must not wait behind it. Most questions
 /// name far fewer workers than they may; the fixed part alone tells long from
 /// short ones well enough.
-inline constexpr Duration kLongQuestion = std::chrono::milliseconds(100);
+inline constexpr Duration kLongQuestionThreshold =
+    std::chrono::milliseconds(100);
 [[nodiscard]] bool IsLong(const AdvicePolicy& policy);
 
 /// One step that needs permissions.
-struct AdviceNeed {
+struct PermissionRequest {
   StepRef step;
   QueueName queue;
   AdvicePolicy policy;
@@ -38,7 +39,7 @@
 
 /// A question that waits for a host.
 struct WaitingQuestion {
-  AdviceNeed need;
+  PermissionRequest request;
   Instant since;
   /// In the order in which they came.
   std::uint64_t number = 0;
@@ -59,7 +60,7 @@
 /// takes it on in turn.
 class QuestionQueue {
  public:
-  void Push(const AdviceNeed& need, Instant now);
+  void Push(const PermissionRequest& request, Instant now);
   /// Drops the questions about a job.
   void Forget(const JobId& job);
   /// Puts first what goes first now.
@@ -71,11 +72,11 @@
   /// Takes out a question that is to be sent, or is not needed any more.
   WaitingQuestion Take(std::size_t index);
   /// A long question has been sent.
-  void NoteLongSent() { ++this->long_sent; }
+  void CountLongSent() { ++this->long_sent; }
 
  private:
   /// Puts the oldest of the long ones before the others.
-  void GiveOldestItsTurn(Instant now);
+  void PromoteOldest(Instant now);
 
   std::vector<WaitingQuestion> waiting;
   std::uint64_t next_number = 1;
--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -20,16 +20,16 @@
   void Push(const std::string& job, Duration work,
             DeadlineStatus deadline_status = DeadlineStatus::kOnTime,
             Duration decision = milliseconds(600)) {
-    AdviceNeed need;
-    need.step.job = JobId(job);
-    need.policy.decision = decision;
+    PermissionRequest request;
+    request.step.job = JobId(job);
+    request.policy.decision = decision;
     if (deadline_status != DeadlineStatus::kOnTime)
-      need.deadlines.on_time = kNow - seconds(1);
+      request.deadlines.on_time = kNow - seconds(1);
     if (deadline_status == DeadlineStatus::kExpired)
-      need.deadlines.useful = kNow - seconds(1);
-    need.work = work;
-    need.capacity_reserved = this->capacity_reserved;
-    this->queue.Push(need, kNow);
+      request.deadlines.useful = kNow - seconds(1);
+    request.work = work;
+    request.capacity_reserved = this->capacity_reserved;
+    this->queue.Push(request, kNow);
   }
   /// @return the jobs in the order in which their questions go; each counts as
   ///   sent
@@ -38,8 +38,8 @@
     while (this->queue.Size() > 0) {
       this->queue.Sort(kNow);
       const WaitingQuestion sent = this->queue.Take(0);
-      if (IsLong(sent.need.policy)) this->queue.NoteLongSent();
-      order.push_back(sent.need.step.job.Text());
+      if (IsLong(sent.request.policy)) this->queue.CountLongSent();
+      order.push_back(sent.request.step.job.Text());
     }
     return order;
   }
@@ -76,12 +76,12 @@
   Push("wide", seconds(90));
   queue.Sort(kNow);
   queue.Take(0);
-  queue.NoteLongSent();
+  queue.CountLongSent();
   queue.Sort(kNow);
-  BOOST_TEST(queue.At(0).need.step.job.Text() == "wide");
-  BOOST_TEST(queue.At(1).need.step.job.Text() == "narrow");
-  BOOST_TEST(queue.At(2).need.step.job.Text() == "late");
-  BOOST_TEST(queue.At(3).need.step.job.Text() == "hopeless");
+  BOOST_TEST(queue.At(0).request.step.job.Text() == "wide");
+  BOOST_TEST(queue.At(1).request.step.job.Text() == "narrow");
+  BOOST_TEST(queue.At(2).request.step.job.Text() == "late");
+  BOOST_TEST(queue.At(3).request.step.job.Text() == "hopeless");
 }
 
 BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_a_dear_one) {
@@ -89,22 +89,22 @@
   Push("dear", seconds(100), DeadlineStatus::kOnTime, milliseconds(600));
   Push("cheap", seconds(60), DeadlineStatus::kOnTime, milliseconds(200));
   queue.Take(0);
-  queue.NoteLongSent();
+  queue.CountLongSent();
   queue.Sort(kNow);
-  BOOST_TEST(queue.At(0).need.step.job.Text() == "cheap");
+  BOOST_TEST(queue.At(0).request.step.job.Text() == "cheap");
 }
 
 // Wide gangs come faster than the hosts can ask, and a narrow one is behind all
 // of them each time. It has its turn when it is the oldest.
 BOOST_AUTO_TEST_CASE(what_pays_least_has_its_turn) {
   Push("narrow", seconds(1));
-  queue.NoteLongSent();
+  queue.CountLongSent();
   std::vector<std::string> sent;
   for (int i = 0; i < 8; ++i) {
     Push("wide", seconds(100));
     queue.Sort(kNow);
-    sent.push_back(queue.Take(0).need.step.job.Text());
-    queue.NoteLongSent();
+    sent.push_back(queue.Take(0).request.step.job.Text());
+    queue.CountLongSent();
   }
   BOOST_TEST((std::find(sent.begin(), sent.end(), "narrow") - sent.begin()) ==
              3);
@@ -114,13 +114,13 @@
 // the time of what is only late; but it ends.
 BOOST_AUTO_TEST_CASE(what_is_hopeless_has_few_turns) {
   Push("hopeless", seconds(1), DeadlineStatus::kExpired);
-  queue.NoteLongSent();
+  queue.CountLongSent();
   std::vector<std::string> sent;
   for (int i = 0; i < 20; ++i) {
     Push("wide", seconds(100));
     queue.Sort(kNow);
-    sent.push_back(queue.Take(0).need.step.job.Text());
-    queue.NoteLongSent();
+    sent.push_back(queue.Take(0).request.step.job.Text());
+    queue.CountLongSent();
   }
   BOOST_TEST((std::find(sent.begin(), sent.end(), "hopeless") - sent.begin()) ==
              15);
