--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -12,22 +12,22 @@
 
 /// How old the last look at the accepted jobs may be for their number to be
 /// told: the users allow 2 s, and a watch takes up to 1.5 s.
-constexpr Duration kFreshFor = milliseconds(2000);
+constexpr Duration kMaxJobViewAge = milliseconds(2000);
 /// How old the last look at the workers' entries may be when a start leaves: a
 /// worker that has shrunk counts as such 4.5 s later.
-constexpr Duration kWorkerViewLife = milliseconds(4000);
+constexpr Duration kMaxWorkerViewAge = milliseconds(4000);
 /// How long the room of a job that is being stored is kept: longer than the
 /// slowest answers on the users' pages (0.4 s) and a peer's delay together. One
 /// that is stored later is placed anew.
-constexpr Duration kProposalLife = milliseconds(1500);
+constexpr Duration kProposalTimeout = milliseconds(1500);
 /// Longest age that a job's acceptance time is believed to show; beyond, a
 /// clock has jumped.
-constexpr Duration kMaxBelievedAge = seconds(600);
+constexpr Duration kMaxPlausibleAge = seconds(600);
 
 /// How long a run that a former owner ordered may last at a worker that can't
 /// be reached: that owner renews for `kOwnerOutageTolerance` at most after its
 /// lease at the store, and the last renewal lasts as long as a worker's lease.
-Duration InheritedFor() {
+Duration MaxInheritedRunTime() {
   const auto lease = static_cast<double>(kWorkerLease.count());
   return kOwnerOutageTolerance +
          Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
@@ -137,7 +137,7 @@
   if (key.starts_with(keys::kCancels)) {
     const JobId id(key.substr(keys::kCancels.size()));
     if (event.deleted) {
-      this->cancelled_early.erase(id);
+      this->early_cancellations.erase(id);
     } else {
       this->OnCancel(id);
     }
@@ -147,7 +147,7 @@
   }
 }
 
-void GroupOwner::OnAnnounced(const AnnouncedJob& job) {
+void GroupOwner::OnJobAnnounced(const AnnouncedJob& job) {
   if (job.revision == 0) {
     this->OnProposed(job.id, job.record);
     return;
@@ -165,12 +165,12 @@
   if (!this->loaded || known) return;
   // The job's start is written down while the job itself is being stored, which
   // spares a slow store's answer.
-  JobEntry* entry = this->Learn(id, record);
+  JobEntry* entry = this->AddJob(id, record);
   // One that was cancelled is in the store for certain.
   if (entry == nullptr || IsFinal(entry->state)) return;
   entry->stored = false;
-  this->context.executor->After(kProposalLife, this->guard.Wrap([this, id] {
-    this->ParkUnlessStored(id);
+  this->context.executor->After(kProposalTimeout, this->guard.Wrap([this, id] {
+    this->ParkIfNotStored(id);
   }));
 }
 
@@ -178,13 +178,13 @@
   if (this->ended->Find(id)) return;
   JobEntry* known = this->context.jobs.Find(id);
   if (known == nullptr) {
-    (void)this->Learn(id, record);
+    (void)this->AddJob(id, record);
   } else if (!known->stored) {
-    this->Confirm(known);
+    this->ConfirmStored(known);
   }
 }
 
-JobEntry* GroupOwner::Learn(const JobId& id, std::string_view record) {
+JobEntry* GroupOwner::AddJob(const JobId& id, std::string_view record) {
   std::optional<Job> job = DecodeJob(record);
   if (!job || job->id != id) {
     this->context.log->Write("jobs", "record-broken",
@@ -194,21 +194,21 @@
   const Instant now = this->context.executor->Now();
   const Duration age =
       milliseconds(this->context.executor->UnixMs() - job->accepted_unix_ms);
-  const bool believed = age > Duration::zero() && age < kMaxBelievedAge;
+  const bool plausible = age > Duration::zero() && age < kMaxPlausibleAge;
   JobEntry* entry = this->context.jobs.Add(std::move(*job), now);
-  if (believed) entry->learnt = now - age;
+  if (plausible) entry->learnt = now - age;
   if (!this->loaded) return entry;
   this->ClaimProgress(entry);
   this->context.log->Write("jobs", "job-learnt",
                            {{"job", id.Text()},
                             {"queue", entry->job.queue.name.Text()},
                             {"steps", entry->job.spec.steps.size()}});
-  if (this->cancelled_early.erase(id) > 0) this->OnCancel(id);
+  if (this->early_cancellations.erase(id) > 0) this->OnCancel(id);
   this->dispatcher->SchedulePass();
   return entry;
 }
 
-void GroupOwner::Confirm(JobEntry* entry) {
+void GroupOwner::ConfirmStored(JobEntry* entry) {
   entry->stored = true;
   this->context.log->Write(
       "jobs", "job-stored",
@@ -218,7 +218,7 @@
   this->dispatcher->SchedulePass();
 }
 
-void GroupOwner::ParkUnlessStored(const JobId& id) {
+void GroupOwner::ParkIfNotStored(const JobId& id) {
   JobEntry* entry = this->context.jobs.Find(id);
   if (entry == nullptr || entry->stored) return;
   this->context.log->Write("jobs", "job-not-stored", {{"job", id.Text()}});
@@ -231,7 +231,7 @@
 void GroupOwner::OnCancel(const JobId& id) {
   JobEntry* entry = this->context.jobs.Find(id);
   if (entry == nullptr || !this->loaded) {
-    this->cancelled_early.insert(id);
+    this->early_cancellations.insert(id);
     return;
   }
   // Only a job that is in the store can be cancelled.
@@ -249,7 +249,7 @@
   const std::string id = event.item.key.substr(prefix.size());
   WorkerSession* session = this->context.workers.At(WorkerId(id));
   if (event.deleted) {
-    this->Unlist(session, event.item.revision);
+    this->MarkUnlisted(session, event.item.revision);
     return;
   }
   const Result<WorkerInfo> info =
@@ -260,13 +260,13 @@
         {{"worker", id}, {"reason", info.error().message()}});
     // Failure: something else overwrites a worker's entry, and tasks go on
     // being started at a worker that nothing names any more.
-    this->Unlist(session, event.item.revision);
+    this->MarkUnlisted(session, event.item.revision);
     return;
   }
   this->AddWorker(info.value());
 }
 
-void GroupOwner::Unlist(WorkerSession* session, Revision revision) {
+void GroupOwner::MarkUnlisted(WorkerSession* session, Revision revision) {
   if (session == nullptr || !std::exchange(session->listed, false)) return;
   this->context.log->Write("workers", "worker-unlisted",
                            {{"worker", Text(session->Incarnation())},
@@ -276,8 +276,8 @@
 
 void GroupOwner::AddWorker(const WorkerInfo& info) {
   const SessionNumber first_new = this->context.workers.NumberLimit();
-  WorkerSession* session =
-      this->incarnations->NoteEntry(info, this->elected_at + InheritedFor());
+  WorkerSession* session = this->incarnations->NoteEntry(
+      info, this->elected_at + MaxInheritedRunTime());
   if (session == nullptr) return;
   // Those found at a takeover are told of by their number.
   if (session->Number() >= first_new && this->workers->Listed()) {
@@ -340,14 +340,14 @@
 void GroupOwner::TakeOver() {
   const std::vector<JobEntry*> active = this->context.jobs.Active();
   for (JobEntry* entry : active) this->ClaimProgress(entry);
-  for (const JobId& id : std::set<JobId>(this->cancelled_early)) {
+  for (const JobId& id : std::set<JobId>(this->early_cancellations)) {
     if (this->context.jobs.Find(id) == nullptr) continue;
-    this->cancelled_early.erase(id);
+    this->early_cancellations.erase(id);
     this->OnCancel(id);
   }
 }
 
-void GroupOwner::ForgetParked() {
+void GroupOwner::RemoveExpiredProposals() {
   const Instant old = this->context.executor->Now() - kFinalStateRetention;
   while (!this->parked.empty() && this->parked.front().first < old) {
     const JobId id = this->parked.front().second;
@@ -362,7 +362,7 @@
 }
 
 void GroupOwner::InheritRuns(JobEntry* entry) {
-  const Instant until = this->elected_at + InheritedFor();
+  const Instant until = this->elected_at + MaxInheritedRunTime();
   for (const auto& [number, occurrence] : entry->occurrences) {
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
       const std::vector<TaskEntry>& tasks = occurrence.steps[s].tasks;
@@ -384,14 +384,14 @@
   return JobStatus{entry->shown, {}};
 }
 
-bool GroupOwner::Fresh() const {
-  return this->loaded &&
-         this->context.executor->Now() < this->intake->FreshAt() + kFreshFor;
+bool GroupOwner::HasFreshJobView() const {
+  return this->loaded && this->context.executor->Now() <
+                             this->intake->FreshAt() + kMaxJobViewAge;
 }
 
 bool GroupOwner::HasFreshWorkerView() {
   const Instant now = this->context.executor->Now();
-  if (now < this->workers->FreshAt() + kWorkerViewLife) return true;
+  if (now < this->workers->FreshAt() + kMaxWorkerViewAge) return true;
   this->workers->Refresh();
   return false;
 }
@@ -405,27 +405,27 @@
 
 void GroupOwner::Tick() {
   if (this->loaded) {
-    this->OpenDue();
+    this->OpenDueOccurrences();
     this->holds->PumpAll();
     this->reservations->CheckAll();
     this->ended->ForgetOld();
     this->stored->ForgetUnclaimed();
-    this->ForgetParked();
+    this->RemoveExpiredProposals();
     this->dispatcher->SchedulePass();
-    this->Publish();
+    this->PublishMetrics();
   }
   this->context.executor->After(kTickInterval,
                                 this->guard.Wrap([this] { this->Tick(); }));
 }
 
-void GroupOwner::OpenDue() {
+void GroupOwner::OpenDueOccurrences() {
   const std::int64_t unix_ms = this->context.executor->UnixMs();
   for (JobEntry* entry : this->context.jobs.Active()) {
     JobTable::OpenDue(entry, unix_ms);
   }
 }
 
-void GroupOwner::Publish() {
+void GroupOwner::PublishMetrics() {
   std::size_t running = 0;
   for (const auto& [id, session] : this->context.workers) {
     running += session->runs.size();
--- a/packages/jobs/src/group_owner.h
+++ b/packages/jobs/src/group_owner.h
@@ -61,10 +61,10 @@
   [[nodiscard]] bool Loaded() const { return this->loaded; }
   /// @return true if it has heard lately which jobs were accepted; a former
   ///   owner that is cut off from the store has not, and must not count them
-  [[nodiscard]] bool Fresh() const;
+  [[nodiscard]] bool HasFreshJobView() const;
 
   /// A process has stored this job, or is storing it.
-  void OnAnnounced(const AnnouncedJob& job);
+  void OnJobAnnounced(const AnnouncedJob& job);
   void OnCancel(const JobId& id);
   /// @return what callers are told; nothing for an unknown job
   [[nodiscard]] std::optional<JobStatus> StatusOf(const JobId& id) const;
@@ -76,28 +76,28 @@
   /// The job is being stored.
   void OnProposed(const JobId& id, std::string_view record);
   /// @return null if the record can't be read
-  JobEntry* Learn(const JobId& id, std::string_view record);
-  void Confirm(JobEntry* entry);
+  JobEntry* AddJob(const JobId& id, std::string_view record);
+  void ConfirmStored(JobEntry* entry);
   /// Gives the room of a job back that has not been stored for long.
-  void ParkUnlessStored(const JobId& id);
+  void ParkIfNotStored(const JobId& id);
   void OnIntake(const StoreEvent& event);
   void OnWorker(const StoreEvent& event);
   void AddWorker(const WorkerInfo& info);
   /// See OwnerContext.
   bool HasFreshWorkerView();
   /// No entry names the worker any more: nothing is started there.
-  void Unlist(WorkerSession* session, Revision revision);
+  void MarkUnlisted(WorkerSession* session, Revision revision);
   /// Applies what former owners have stored of a job's progress, if anything.
   void ClaimProgress(JobEntry* entry);
   /// Forgets jobs that were proposed and never stored.
-  void ForgetParked();
+  void RemoveExpiredProposals();
   /// Goes to work once jobs, progress and workers have all been read.
   void FinishLoading();
   void TakeOver();
   void InheritRuns(JobEntry* entry);
   void Tick();
-  void OpenDue();
-  void Publish();
+  void OpenDueOccurrences();
+  void PublishMetrics();
 
   const PlatformSchema* schema;
   OwnerContext context;
@@ -107,7 +107,7 @@
   std::deque<std::pair<Instant, JobId>> parked;
   bool loaded = false;
   /// Cancellations that were read before their jobs.
-  std::set<JobId> cancelled_early;
+  std::set<JobId> early_cancellations;
   std::unique_ptr<ProgressWriter> writer;
   std::unique_ptr<EndedJobs> ended;
   std::unique_ptr<StoredProgress> stored;
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -205,7 +205,7 @@
   if (!is_job && revision == 0) return;
   if (this->owner) {
     if (is_job) {
-      this->owner->OnAnnounced({created.job, created.value, revision});
+      this->owner->OnJobAnnounced({created.job, created.value, revision});
     } else {
       this->owner->OnCancel(created.job);
     }
@@ -324,7 +324,7 @@
 
 void JobNode::Pending(const QueueName& queue, Duration /*timeout*/,
                       std::function<void(Result<std::int64_t>)> done) {
-  if (this->Owns() && this->state->owner->Fresh()) {
+  if (this->Owns() && this->state->owner->HasFreshJobView()) {
     done(this->state->owner->PendingIn(queue));
     return;
   }
@@ -337,7 +337,7 @@
 }
 
 void JobNode::OnJob(AnnouncedJob job) {
-  if (this->state->owner) this->state->owner->OnAnnounced(job);
+  if (this->state->owner) this->state->owner->OnJobAnnounced(job);
 }
 
 void JobNode::OnCancel(const JobId& job) {
@@ -355,7 +355,7 @@
 
 void JobNode::OnQueryPending(const QueueName& queue,
                              JobPeerHandler::Done<std::int64_t> done) {
-  if (!this->Owns() || !this->state->owner->Fresh()) {
+  if (!this->Owns() || !this->state->owner->HasFreshJobView()) {
     done(make_error_code(Error::kNotOwner));
     return;
   }
