--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -20,14 +20,14 @@
 constexpr std::size_t kMaxStaggers = 5;
 
 /// Stronger hosts are preferred as owners; the name decides between equals.
-bool Preferred(const NodeRecord& a, const NodeRecord& b) {
+bool IsPreferredOwner(const NodeRecord& a, const NodeRecord& b) {
   return std::make_tuple(-a.cpu_milli, -a.memory_mb, a.name) <
          std::make_tuple(-b.cpu_milli, -b.memory_mb, b.name);
 }
 
 /// While hosts are restarted in turn, those that came last will not be stopped
 /// again soon, and the group changes hands less often.
-bool BetterSuccessor(const Registration& a, const Registration& b) {
+bool IsBetterSuccessor(const Registration& a, const Registration& b) {
   return std::make_tuple(-a.node.cpu_milli, -a.node.memory_mb, -a.revision) <
          std::make_tuple(-b.node.cpu_milli, -b.node.memory_mb, -b.revision);
 }
@@ -172,7 +172,7 @@
           "cell", "process-joined",
           {{"process", name.Text()}, {"address", node->peer_address}});
     } else {
-      this->LogBroken(event);
+      this->LogMalformed(event);
     }
   } else if (key == keys::Owner()) {
     this->OnOwnerKey(event);
@@ -191,7 +191,7 @@
   }
   const auto node = DecodeNode(event.item.value);
   if (!node) {
-    this->LogBroken(event);
+    this->LogMalformed(event);
     return;
   }
   this->owner = Ownership{*node, event.item.revision};
@@ -202,13 +202,13 @@
   const bool ours = *node == this->self && event.item.lease == this->lease;
   if (this->token == 0 && ours) {
     // Our write had no answer and was done later.
-    this->Win(event.item.revision);
+    this->BecomeOwner(event.item.revision);
   } else if (this->token != 0 && newer) {
     this->Depose("there is a newer owner");
   }
 }
 
-void CellMember::LogBroken(const StoreEvent& event) {
+void CellMember::LogMalformed(const StoreEvent& event) {
   this->log->Write(
       "cell", "record-broken",
       {{"key", event.item.key}, {"revision", event.item.revision}});
@@ -217,7 +217,8 @@
 Duration CellMember::ElectionDelay() const {
   std::size_t before = 0;
   for (const auto& [name, other] : this->nodes) {
-    if (name != this->self.name && Preferred(other.node, this->self)) ++before;
+    if (name != this->self.name && IsPreferredOwner(other.node, this->self))
+      ++before;
   }
   return kElectionStagger *
          static_cast<std::int64_t>(std::min(before, kMaxStaggers));
@@ -232,17 +233,17 @@
 
 void CellMember::ConsiderElection() {
   const bool vacant = !this->owner || this->OwnerRestarted();
-  const bool may = this->mirror.Listed() && vacant && this->lease != 0 &&
-                   this->token == 0 && !this->leaving;
-  if (!may || std::exchange(this->standing, true)) return;
+  const bool may_run = this->mirror.Listed() && vacant && this->lease != 0 &&
+                       this->token == 0 && !this->leaving;
+  if (!may_run || std::exchange(this->electing, true)) return;
   this->executor->After(this->ElectionDelay(),
-                        this->guard.Wrap([this] { this->Stand(); }));
+                        this->guard.Wrap([this] { this->RunForElection(); }));
 }
 
-void CellMember::Stand() {
+void CellMember::RunForElection() {
   const bool vacant = !this->owner || this->OwnerRestarted();
   if (!vacant || this->lease == 0 || this->leaving) {
-    this->standing = false;
+    this->electing = false;
     return;
   }
   Transaction transaction;
@@ -254,15 +255,15 @@
       {keys::Owner(), EncodeNode(this->self), this->lease});
   this->store->Commit(std::move(transaction),
                       this->guard.Wrap([this](const CommitResult& result) {
-                        this->OnStood(result);
+                        this->OnElectionResult(result);
                       }));
 }
 
-void CellMember::OnStood(const CommitResult& result) {
+void CellMember::OnElectionResult(const CommitResult& result) {
   switch (result.end) {
     case CommitEnd::kCommitted:
-      this->standing = false;
-      this->Win(result.revision);
+      this->electing = false;
+      this->BecomeOwner(result.revision);
       return;
     case CommitEnd::kConflict:
       // Another one was first, and the mirror tells soon who. Failure: or the
@@ -270,28 +271,28 @@
       // while the write was on its way, nothing more comes, and the group stays
       // without an owner. So things are looked at once more below.
     case CommitEnd::kUncertain:
-      this->CheckStood();
+      this->VerifyElection();
       return;
     case CommitEnd::kLeaseGone:
     case CommitEnd::kNotDone:
       break;
   }
   this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
-    this->standing = false;
+    this->electing = false;
     this->ConsiderElection();
   }));
 }
 
-void CellMember::CheckStood() {
+void CellMember::VerifyElection() {
   // Failure: the answer to the write that made us owner is lost. The key shows
   // who made it; our lease is in no other process's hands.
   this->store->Read(
       keys::Owner(), this->guard.Wrap([this](const Result<StoreItem>& item) {
-        this->standing = false;
+        this->electing = false;
         const bool ours = item && item.value().lease == this->lease &&
                           this->lease != 0 && !this->leaving;
         if (ours) {
-          this->Win(item.value().revision);
+          this->BecomeOwner(item.value().revision);
           return;
         }
         this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
@@ -300,7 +301,7 @@
       }));
 }
 
-void CellMember::Win(Revision revision) {
+void CellMember::BecomeOwner(Revision revision) {
   if (this->token != 0 || this->leaving) return;
   this->token = revision;
   this->owner = Ownership{this->self, revision};
@@ -341,7 +342,7 @@
   const Registration* best = nullptr;
   for (const auto& [name, other] : this->nodes) {
     if (name == this->self.name) continue;
-    if (best == nullptr || BetterSuccessor(other, *best)) best = &other;
+    if (best == nullptr || IsBetterSuccessor(other, *best)) best = &other;
   }
   return best;
 }
--- a/packages/jobs/src/cell_member.h
+++ b/packages/jobs/src/cell_member.h
@@ -86,16 +86,16 @@
   void LoseLease(std::string_view reason);
   void OnCell(const StoreEvent& event);
   void OnOwnerKey(const StoreEvent& event);
-  void LogBroken(const StoreEvent& event);
+  void LogMalformed(const StoreEvent& event);
   /// @return true if the owner's process has been started anew, so that its
   ///   former run, which owns the key, is over for certain
   [[nodiscard]] bool OwnerRestarted() const;
   void ConsiderElection();
   Duration ElectionDelay() const;
-  void Stand();
-  void OnStood(const CommitResult& result);
-  void CheckStood();
-  void Win(Revision revision);
+  void RunForElection();
+  void OnElectionResult(const CommitResult& result);
+  void VerifyElection();
+  void BecomeOwner(Revision revision);
   void Depose(std::string_view reason);
   /// @return who should own the group after this process; null if it is alone
   [[nodiscard]] const Registration* Successor() const;
@@ -115,7 +115,7 @@
   std::optional<Ownership> owner;
   /// Not zero while this process owns the group.
   FencingToken token = 0;
-  bool standing = false;
+  bool electing = false;
   /// The last renewal was refused.
   bool refused = false;
   /// The store has not granted a lease since this process has none.
