--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -18,18 +18,18 @@
 /// A write without an answer for so long is also given to another process.
 /// Above the answers of a store that is slow for everybody (0.4 s), where that
 /// would gain nothing.
-constexpr Duration kHedgeAfter = milliseconds(450);
+constexpr Duration kHedgeDelay = milliseconds(450);
 /// From here on it pays to place a job while it is being stored. The usual 4 ms
 /// are a tenth of the pause between two writes of progress.
-constexpr Duration kSlowAnswer = milliseconds(30);
+constexpr Duration kSlowAnswerThreshold = milliseconds(30);
 /// Pause between two looks at whether the store has answered.
-constexpr Duration kGateLook = milliseconds(20);
+constexpr Duration kGatePollInterval = milliseconds(20);
 /// Processes that are asked for one entry.
 constexpr std::size_t kMaxHelpers = 2;
 /// Longest wait for one of them.
 constexpr Duration kHelperTimeout = milliseconds(600);
 /// How long one that does not answer is left out.
-constexpr Duration kHelperPause = seconds(1);
+constexpr Duration kHelperBackoff = seconds(1);
 /// When to come back while the store is away: outages last seconds, and
 /// callers hand a job in for a few seconds only.
 constexpr Duration kStoreRetryAfter = seconds(1);
@@ -48,7 +48,7 @@
 void Intake::Create(CreateRequest request, Done done) {
   std::vector<std::string> helpers = this->parts.helpers();
   if (helpers.size() > kMaxHelpers) helpers.resize(kMaxHelpers);
-  this->HedgeLater(
+  this->ScheduleHedge(
       this->Begin(std::move(request), std::move(helpers), std::move(done)));
 }
 
@@ -67,14 +67,14 @@
                               this->guard.Wrap([this, entry] {
                                 this->GiveUp(entry, Error::kDeadlineExceeded);
                               }));
-  this->Pursue(entry);
+  this->TryCreate(entry);
   return entry;
 }
 
-void Intake::Pursue(const EntryPtr& entry) {
+void Intake::TryCreate(const EntryPtr& entry) {
   // Failure: the store is away, each write to it ends uncertain, and callers
   // must be told so, who could have come back had nothing been sent.
-  if (this->Gate() == WriteGate::Answer::kRefuse) {
+  if (this->CheckGate() == WriteGate::Answer::kRefuse) {
     this->Continue(entry);
     return;
   }
@@ -82,21 +82,21 @@
   this->Flush();
 }
 
-WriteGate::Answer Intake::Gate() {
+WriteGate::Answer Intake::CheckGate() {
   if (!this->parts.store_answers()) return WriteGate::Answer::kRefuse;
   this->gate.NoteAlive(this->parts.store_alive_at());
   return this->gate.At(this->parts.executor->Now());
 }
 
-void Intake::HedgeLater(const EntryPtr& entry) {
+void Intake::ScheduleHedge(const EntryPtr& entry) {
   if (entry->helpers.empty() || !entry->done) return;
-  this->parts.executor->After(kHedgeAfter, this->guard.Wrap([this, entry] {
+  this->parts.executor->After(kHedgeDelay, this->guard.Wrap([this, entry] {
     if (entry->done) (void)this->AskHelper(entry);
   }));
 }
 
 void Intake::Flush() {
-  const WriteGate::Answer answer = this->Gate();
+  const WriteGate::Answer answer = this->CheckGate();
   const bool holds = answer != WriteGate::Answer::kSend;
   if (holds != std::exchange(this->holding, holds)) {
     this->parts.log->Write(
@@ -104,11 +104,11 @@
         {{"waiting", this->waiting.size()}, {"in_flight", this->in_flight}});
   }
   if (answer == WriteGate::Answer::kRefuse) {
-    this->TurnAwayWaiting();
+    this->RejectWaiting();
     return;
   }
   if (answer == WriteGate::Answer::kHold) {
-    this->FlushLater();
+    this->ScheduleFlush();
     return;
   }
   while (!this->waiting.empty() && this->in_flight < kMaxInFlight) {
@@ -121,9 +121,9 @@
     this->parts.store->Commit(
         std::move(transaction),
         this->guard.Wrap([this, batch, sent](const CommitResult& result) {
-          this->OnEnd(batch, sent, result);
+          this->OnTransactionEnd(batch, sent, result);
         }));
-    if (this->gate.UsualAnswer() < kSlowAnswer) continue;
+    if (this->gate.UsualAnswer() < kSlowAnswerThreshold) continue;
     for (const EntryPtr& entry : batch) this->parts.on_sent(entry->request);
   }
 }
@@ -144,22 +144,22 @@
   return transaction;
 }
 
-void Intake::FlushLater() {
+void Intake::ScheduleFlush() {
   if (this->waiting.empty() || std::exchange(this->flush_due, true)) return;
-  this->parts.executor->After(kGateLook, this->guard.Wrap([this] {
+  this->parts.executor->After(kGatePollInterval, this->guard.Wrap([this] {
     this->flush_due = false;
     this->Flush();
   }));
 }
 
-void Intake::TurnAwayWaiting() {
+void Intake::RejectWaiting() {
   for (const EntryPtr& entry : std::exchange(this->waiting, {})) {
     this->Continue(entry);
   }
 }
 
-void Intake::OnEnd(const std::vector<EntryPtr>& batch, Instant sent,
-                   const CommitResult& result) {
+void Intake::OnTransactionEnd(const std::vector<EntryPtr>& batch, Instant sent,
+                              const CommitResult& result) {
   --this->in_flight;
   const Instant now = this->parts.executor->Now();
   if (result.end == CommitEnd::kUncertain) {
@@ -207,7 +207,7 @@
   if (!entry->done) return;
   ++entry->tries;
   if (this->AskHelper(entry) || entry->in_flight > 0) return;
-  const bool away = this->Gate() == WriteGate::Answer::kRefuse;
+  const bool away = this->CheckGate() == WriteGate::Answer::kRefuse;
   // "Not accepted" would be untrue if an earlier write may still be done; then
   // the caller is told at its deadline, or as soon as it is known.
   if (!entry->uncertain && (away || entry->helpers.empty())) {
@@ -215,7 +215,7 @@
     return;
   }
   this->parts.executor->After(kStoreRetryDelay, this->guard.Wrap([this, entry] {
-    if (entry->done) this->Pursue(entry);
+    if (entry->done) this->TryCreate(entry);
   }));
 }
 
@@ -224,8 +224,9 @@
   while (!entry->helpers.empty()) {
     std::string helper = entry->helpers.front();
     entry->helpers.erase(entry->helpers.begin());
-    const auto out = this->lost_helpers.find(helper);
-    if (out == this->lost_helpers.end() || out->second <= now) return helper;
+    const auto out = this->unavailable_helpers.find(helper);
+    if (out == this->unavailable_helpers.end() || out->second <= now)
+      return helper;
   }
   return std::nullopt;
 }
@@ -244,7 +245,7 @@
             --entry->in_flight;
             const bool lost = !answer && answer.error() == Error::kPeerLost;
             if (lost) {
-              this->LeaveOut(helper);
+              this->SuspendHelper(helper);
               this->Continue(entry);
             } else {
               this->CreateAt(helper, entry);
@@ -253,16 +254,17 @@
   return true;
 }
 
-void Intake::LeaveOut(const std::string& helper) {
-  const Instant until = this->parts.executor->Now() + kHelperPause;
-  const bool added = this->lost_helpers.insert_or_assign(helper, until).second;
+void Intake::SuspendHelper(const std::string& helper) {
+  const Instant until = this->parts.executor->Now() + kHelperBackoff;
+  const bool added =
+      this->unavailable_helpers.insert_or_assign(helper, until).second;
   if (!added) return;
   this->parts.log->Write("intake", "helper-lost", {{"helper", helper}});
 }
 
 void Intake::CreateAt(const std::string& helper, const EntryPtr& entry) {
   if (!entry->done) return;
-  if (this->lost_helpers.erase(helper) > 0) {
+  if (this->unavailable_helpers.erase(helper) > 0) {
     this->parts.log->Write("intake", "helper-back", {{"helper", helper}});
   }
   CreateRequest request = entry->request;
@@ -274,11 +276,12 @@
       helper, request,
       this->guard.Wrap([this, entry](const Result<CreateOutcome>& end) {
         --entry->in_flight;
-        this->OnHelper(entry, end);
+        this->OnHelperAnswer(entry, end);
       }));
 }
 
-void Intake::OnHelper(const EntryPtr& entry, const Result<CreateOutcome>& end) {
+void Intake::OnHelperAnswer(const EntryPtr& entry,
+                            const Result<CreateOutcome>& end) {
   if (end && end.value() == CreateOutcome::kExists) {
     this->Accept(entry, "by a peer", std::nullopt);
     return;
@@ -297,10 +300,10 @@
                           {"job", entry->request.job.Text()},
                           {"how", how},
                           {"tries", entry->tries}});
-  this->Settle(entry, {.end = SubmitOutcome::kAccepted,
-                       .reason = {},
-                       .detail = {},
-                       .retry_after = Duration::zero()});
+  this->Complete(entry, {.end = SubmitOutcome::kAccepted,
+                         .reason = {},
+                         .detail = {},
+                         .retry_after = Duration::zero()});
 }
 
 void Intake::GiveUp(const EntryPtr& entry, std::error_code reason) {
@@ -315,14 +318,14 @@
        {"tries", entry->tries},
        {"timeout_ms", WholeMilliseconds(entry->request.timeout)},
        {"reason", reason.message()}});
-  this->Settle(entry, {.end = unknown ? SubmitOutcome::kUnknown
-                                      : SubmitOutcome::kNotAccepted,
-                       .reason = reason,
-                       .detail = {},
-                       .retry_after = kStoreRetryAfter});
+  this->Complete(entry, {.end = unknown ? SubmitOutcome::kUnknown
+                                        : SubmitOutcome::kNotAccepted,
+                         .reason = reason,
+                         .detail = {},
+                         .retry_after = kStoreRetryAfter});
 }
 
-void Intake::Settle(const EntryPtr& entry, const SubmitResult& result) {
+void Intake::Complete(const EntryPtr& entry, const SubmitResult& result) {
   const Done done = std::exchange(entry->done, {});
   done(result);
 }
--- a/packages/jobs/src/intake.h
+++ b/packages/jobs/src/intake.h
@@ -77,16 +77,16 @@
   EntryPtr Begin(CreateRequest request, std::vector<std::string> helpers,
                  Done done);
   /// Has the key written here, or elsewhere while the store is away.
-  void Pursue(const EntryPtr& entry);
+  void TryCreate(const EntryPtr& entry);
   /// @return whether a write is worth sending now
-  WriteGate::Answer Gate();
+  WriteGate::Answer CheckGate();
   void Flush();
-  void FlushLater();
+  void ScheduleFlush();
   /// Nothing has come of waiting for the store.
-  void TurnAwayWaiting();
+  void RejectWaiting();
   Transaction TakeBatch(std::vector<EntryPtr>* batch);
-  void OnEnd(const std::vector<EntryPtr>& batch, Instant sent,
-             const CommitResult& result);
+  void OnTransactionEnd(const std::vector<EntryPtr>& batch, Instant sent,
+                        const CommitResult& result);
   void OnCommitted(const std::vector<EntryPtr>& batch,
                    const CommitResult& result);
   void OnConflict(const std::vector<EntryPtr>& batch,
@@ -95,15 +95,15 @@
   void Continue(const EntryPtr& entry);
   bool AskHelper(const EntryPtr& entry);
   std::optional<std::string> NextHelper(const EntryPtr& entry);
-  void LeaveOut(const std::string& helper);
+  void SuspendHelper(const std::string& helper);
   void CreateAt(const std::string& helper, const EntryPtr& entry);
-  void OnHelper(const EntryPtr& entry, const Result<CreateOutcome>& end);
-  void HedgeLater(const EntryPtr& entry);
+  void OnHelperAnswer(const EntryPtr& entry, const Result<CreateOutcome>& end);
+  void ScheduleHedge(const EntryPtr& entry);
   /// @param revision of the key, if it is known
   void Accept(const EntryPtr& entry, std::string_view how,
               std::optional<Revision> revision);
   void GiveUp(const EntryPtr& entry, std::error_code reason);
-  void Settle(const EntryPtr& entry, const SubmitResult& result);
+  void Complete(const EntryPtr& entry, const SubmitResult& result);
 
   Parts parts;
   std::deque<EntryPtr> waiting;
@@ -113,7 +113,7 @@
   bool flush_due = false;
   bool holding = false;
   /// Until when helpers are left out that did not answer.
-  std::map<std::string, Instant> lost_helpers;
+  std::map<std::string, Instant> unavailable_helpers;
   CallbackGuard guard;
 };
 
--- a/packages/jobs/src/job_gate.cc
+++ b/packages/jobs/src/job_gate.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Beyond the time in which the service answers by itself.
-constexpr Duration kLastResort = std::chrono::milliseconds(100);
+constexpr Duration kReplyMargin = std::chrono::milliseconds(100);
 
 /// Has `call` run on the control thread with a callback, and waits for that.
 template <typename T>
@@ -20,7 +20,7 @@
   executor->Post([call = std::move(call), awaited] {
     call([awaited](T value) { awaited->Set(std::move(value)); });
   });
-  return awaited->Wait(timeout + kLastResort);
+  return awaited->Wait(timeout + kReplyMargin);
 }
 
 SubmitResult Unanswered() {
