--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -57,7 +57,7 @@
 }
 
 Instant CellMember::StoreAliveAt() const {
-  return std::max(this->renewed_at, this->mirror.FreshAt());
+  return std::max(this->renewed_at, this->mirror.LastAnsweredCallAt());
 }
 
 void CellMember::Acquire() {
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -385,13 +385,15 @@
 }
 
 bool GroupOwner::HasFreshJobView() const {
-  return this->loaded && this->context.executor->Now() <
-                             this->intake->FreshAt() + kMaxJobViewAge;
+  return this->loaded &&
+         this->context.executor->Now() <
+             this->intake->LastAnsweredCallAt() + kMaxJobViewAge;
 }
 
 bool GroupOwner::HasFreshWorkerView() {
   const Instant now = this->context.executor->Now();
-  if (now < this->workers->FreshAt() + kMaxWorkerViewAge) return true;
+  if (now < this->workers->LastAnsweredCallAt() + kMaxWorkerViewAge)
+    return true;
   this->workers->Refresh();
   return false;
 }
--- a/packages/jobs/src/prefix_mirror.cc
+++ b/packages/jobs/src/prefix_mirror.cc
@@ -46,13 +46,13 @@
     return;
   }
   this->reachable = true;
-  this->fresh_at = asked;
+  this->last_answered_call_at = asked;
   // Pages are no snapshot. Changes since the first page are watched for, so
   // none that falls between two pages is lost.
   if (std::exchange(this->first_page, false)) this->next = page.value().current;
   for (const StoreItem& item : page.value().items) {
     this->seen.insert(item.key);
-    this->Tell(item);
+    this->NotifyChanged(item);
   }
   if (page.value().truncated && !page.value().items.empty()) {
     this->ListFrom(page.value().items.back().key);
@@ -66,7 +66,7 @@
   for (const auto& [key, revision] : this->known) {
     if (!this->seen.contains(key)) gone.push_back(key);
   }
-  for (const std::string& key : gone) this->TellGone(key, this->next);
+  for (const std::string& key : gone) this->NotifyDeleted(key, this->next);
   this->seen.clear();
   this->listing = false;
   const bool first = !std::exchange(this->listed, true);
@@ -95,30 +95,30 @@
     return;
   }
   this->reachable = true;
-  this->fresh_at = asked;
+  this->last_answered_call_at = asked;
   this->next = std::max(this->next, events.value().current);
   for (const StoreEvent& event : events.value().events) {
     if (event.deleted) {
-      this->TellGone(event.item.key, event.item.revision);
+      this->NotifyDeleted(event.item.key, event.item.revision);
     } else {
-      this->Tell(event.item);
+      this->NotifyChanged(event.item);
     }
   }
   if (this->options.pause == Duration::zero()) {
     this->Watch();
   } else {
-    this->Later(this->options.pause, [this] { this->Watch(); });
+    this->RunLater(this->options.pause, [this] { this->Watch(); });
   }
 }
 
-void PrefixMirror::Tell(const StoreItem& item) {
+void PrefixMirror::NotifyChanged(const StoreItem& item) {
   Revision& revision = this->known[item.key];
   if (revision >= item.revision) return;
   revision = item.revision;
   this->handlers.on_change({.item = item, .deleted = false});
 }
 
-void PrefixMirror::TellGone(const std::string& key, Revision revision) {
+void PrefixMirror::NotifyDeleted(const std::string& key, Revision revision) {
   const auto found = this->known.find(key);
   if (found == this->known.end() || found->second > revision) return;
   this->known.erase(found);
@@ -133,7 +133,7 @@
   if (std::exchange(this->reachable, false) && !anew) {
     this->log->Write("store", "watch-lost", {{"prefix", this->options.prefix}});
   }
-  this->Later(kStoreRetryDelay, [this, anew] {
+  this->RunLater(kStoreRetryDelay, [this, anew] {
     if (anew) {
       this->Start();
     } else {
@@ -142,7 +142,7 @@
   });
 }
 
-void PrefixMirror::Later(Duration delay, std::function<void()> task) {
+void PrefixMirror::RunLater(Duration delay, std::function<void()> task) {
   this->executor->After(delay, this->guard.Wrap(std::move(task)));
 }
 
--- a/packages/jobs/src/prefix_mirror.h
+++ b/packages/jobs/src/prefix_mirror.h
@@ -40,7 +40,9 @@
   /// @return true once all items have been told
   [[nodiscard]] bool Listed() const { return this->listed; }
   /// @return when the last call was sent that the store answered
-  [[nodiscard]] Instant FreshAt() const { return this->fresh_at; }
+  [[nodiscard]] Instant LastAnsweredCallAt() const {
+    return this->last_answered_call_at;
+  }
 
  private:
   void ListFrom(const std::string& after);
@@ -48,10 +50,10 @@
   void FinishList();
   void Watch();
   void OnEvents(Instant asked, const Result<StoreEvents>& events);
-  void Tell(const StoreItem& item);
-  void TellGone(const std::string& key, Revision revision);
+  void NotifyChanged(const StoreItem& item);
+  void NotifyDeleted(const std::string& key, Revision revision);
   void Retry(bool anew);
-  void Later(Duration delay, std::function<void()> task);
+  void RunLater(Duration delay, std::function<void()> task);
 
   Executor* executor;
   KeyValueStore* store;
@@ -68,7 +70,7 @@
   bool listed = false;
   bool listing = false;
   bool reachable = true;
-  Instant fresh_at;
+  Instant last_answered_call_at;
   CallbackGuard guard;
 };
 
