--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -22,15 +22,15 @@
 constexpr std::int32_t kMaxHolds = 2;
 /// Time allowed for a gang to gather its room, as a multiple of what it takes
 /// if nothing else starts: steps of higher rank do start meanwhile.
-constexpr std::int64_t kGatherMargin = 2;
+constexpr std::int64_t kGatherTimeFactor = 2;
 /// Once a run of a step was at work for so long, its other tasks may start.
-constexpr Duration kSoundStep = milliseconds(200);
+constexpr Duration kProvenStepRunTime = milliseconds(200);
 /// How long a suspicious task waits for a worker on which all runs are proven.
 constexpr Duration kQuietWorkerWait = milliseconds(2000);
 /// A suspicious task that has waited for so long goes before all others.
-constexpr Duration kLongestTrialWait = milliseconds(1000);
+constexpr Duration kMaxTrialWait = milliseconds(1000);
 /// Least time between two looks at whether a question about a step would help.
-constexpr Duration kAskPause = milliseconds(50);
+constexpr Duration kAskInterval = milliseconds(50);
 
 Duration Scale(Duration duration, double factor) {
   return Duration(static_cast<std::int64_t>(
@@ -39,8 +39,8 @@
 
 /// Moves workers on which one of the tasks failed last to the end.
 /// @return how many candidates come before them
-std::size_t PutFailedLast(const SchedulingUnit& unit,
-                          std::vector<Candidate>* candidates) {
+std::size_t MoveFailedWorkersLast(const SchedulingUnit& unit,
+                                  std::vector<Candidate>* candidates) {
   const auto failed_there = [&](const Candidate& candidate) {
     const WorkerId& worker = candidate.capacity->session->Incarnation().id;
     return std::any_of(
@@ -79,7 +79,7 @@
     : context(context), waits(context->log, context->metrics) {}
 
 void Dispatcher::SchedulePass() {
-  if (std::exchange(this->kicked, true)) return;
+  if (std::exchange(this->pass_scheduled, true)) return;
   const Instant now = this->context->executor->Now();
   const Duration delay =
       std::max(Duration::zero(), this->last_pass + kPassInterval - now);
@@ -88,14 +88,14 @@
 }
 
 void Dispatcher::Pass() {
-  this->kicked = false;
+  this->pass_scheduled = false;
   const Instant now = this->context->executor->Now();
   this->last_pass = now;
-  this->NoteSilent();
+  this->UpdateAnySilent();
   std::vector<SchedulingUnit> units = this->CollectUnits(now);
-  this->NoteEjected(now);
+  this->UpdateEjected(now);
   const PassCapacity capacities(this->context->workers);
-  this->AllowForGathering(&units, capacities, now);
+  this->AdvanceGangStartTimes(&units, capacities, now);
   std::stable_sort(
       units.begin(), units.end(),
       [](const SchedulingUnit& a, const SchedulingUnit& b) {
@@ -106,20 +106,21 @@
   // worker that may be kept, and one that has waited long never starts.
   const auto usual = std::stable_partition(
       units.begin(), units.end(), [&](const SchedulingUnit& unit) {
-        return unit.quarantined && now >= unit.waits_since + kLongestTrialWait;
+        return unit.quarantined && now >= unit.waiting_since + kMaxTrialWait;
       });
   std::stable_sort(units.begin(), usual,
                    [](const SchedulingUnit& a, const SchedulingUnit& b) {
-                     return a.waits_since < b.waits_since;
+                     return a.waiting_since < b.waiting_since;
                    });
   std::int32_t holds = 0;
   for (SchedulingUnit& unit : units) {
     this->PlaceUnit(&unit, capacities, now);
     if (unit.tasks.empty()) continue;
     if (this->waits.Due(unit, now)) {
-      this->waits.Write(unit, this->LookAtWait(unit, capacities, now), now);
+      this->waits.Write(unit, this->CollectWaitFacts(unit, capacities, now),
+                        now);
     }
-    if (unit.queue->advice) this->ConsiderAdvice(unit, capacities, now);
+    if (unit.queue->advice) this->RequestAdviceIfUseful(unit, capacities, now);
     const bool holds_room =
         unit.step->gang && unit.deadline_status != DeadlineStatus::kExpired;
     if (holds_room && holds < kMaxHolds) {
@@ -129,7 +130,7 @@
   }
 }
 
-void Dispatcher::NoteSilent() {
+void Dispatcher::UpdateAnySilent() {
   this->any_silent =
       std::any_of(this->context->workers.begin(), this->context->workers.end(),
                   [](const auto& one) {
@@ -137,7 +138,7 @@
                   });
 }
 
-void Dispatcher::NoteEjected(Instant now) {
+void Dispatcher::UpdateEjected(Instant now) {
   WorkerHealth& health = this->context->health;
   for (const WorkerId& worker : health.TakeChanged(now)) {
     WorkerSession* session = this->context->workers.At(worker);
@@ -188,8 +189,9 @@
       unit.tasks = std::move(tasks);
       if (!objective) objective = this->Objective(unit);
       this->Rank(&unit, *objective, now);
-      std::optional<SchedulingUnit> apart = this->SplitSuspicious(&unit);
-      if (apart) units->push_back(std::move(*apart));
+      std::optional<SchedulingUnit> quarantine_unit =
+          this->SplitSuspicious(&unit);
+      if (quarantine_unit) units->push_back(std::move(*quarantine_unit));
       if (!unit.tasks.empty()) units->push_back(std::move(unit));
     }
   }
@@ -210,38 +212,38 @@
   unit->tasks.erase(first, unit->tasks.end());
   // Failure: all tasks of a step take their workers down, and each of them is
   // tried at the same time as the others.
-  if (this->InDoubt(*unit)) unit->tasks.clear();
+  if (this->IsUnproven(*unit)) unit->tasks.clear();
   if (suspicious.empty() || this->HasQuarantined(*unit->entry)) {
     return std::nullopt;
   }
-  SchedulingUnit apart = *unit;
+  SchedulingUnit quarantine_unit = *unit;
   const std::int32_t task = suspicious.front();
-  apart.tasks = {task};
-  apart.quarantined = true;
-  apart.waits_since =
+  quarantine_unit.tasks = {task};
+  quarantine_unit.quarantined = true;
+  quarantine_unit.waiting_since =
       unit->progress->tasks[static_cast<std::size_t>(task)].not_before;
-  return apart;
+  return quarantine_unit;
 }
 
-bool Dispatcher::InDoubt(const SchedulingUnit& unit) const {
+bool Dispatcher::IsUnproven(const SchedulingUnit& unit) const {
   if (unit.progress->done > 0) return false;
   const auto& crashes = unit.entry->crashes;
   const bool suspicious =
       std::any_of(crashes.begin(), crashes.end(), [&](const auto& one) {
         return one.first.step == unit.ref && one.second.Suspicious();
       });
-  if (!suspicious && !this->MayHaveSilenced(unit)) return false;
+  if (!suspicious && !this->MayHaveCrashedWorker(unit)) return false;
   const std::vector<TaskEntry>& tasks = unit.progress->tasks;
   for (std::size_t i = 0; i < tasks.size(); ++i) {
     const SessionRun* run = this->FindRun(unit, i);
-    const bool sound =
-        run != nullptr && !run->quarantined && run->Survived() >= kSoundStep;
+    const bool sound = run != nullptr && !run->quarantined &&
+                       run->Survived() >= kProvenStepRunTime;
     if (sound) return false;
   }
   return true;
 }
 
-bool Dispatcher::MayHaveSilenced(const SchedulingUnit& unit) const {
+bool Dispatcher::MayHaveCrashedWorker(const SchedulingUnit& unit) const {
   // It takes seconds until a silent worker is known to be lost.
   const std::vector<TaskEntry>& tasks = unit.progress->tasks;
   for (std::size_t i = 0; i < tasks.size(); ++i) {
@@ -298,23 +300,23 @@
   if (!this->MayQuarantine()) return;
   std::vector<Candidate> candidates =
       unit->queue->advice
-          ? this->Permitted(*unit, capacities, now, PermitNeed::kHolds)
+          ? this->Permitted(*unit, capacities, now, PermitFilter::kValid)
           : this->Candidates(*unit, capacities, now);
   std::erase_if(candidates, [&](const Candidate& one) {
     return CountPlaceable(*unit->step, one) == 0;
   });
   if (candidates.empty()) return;
-  const auto company = [&](const Candidate& one) {
+  const auto load = [&](const Candidate& one) {
     const WorkerSession& session = *one.capacity->session;
     return std::pair(session.CountUnproven(), session.runs.size());
   };
   const auto chosen =
       std::min_element(candidates.begin(), candidates.end(),
                        [&](const Candidate& a, const Candidate& b) {
-                         return company(a) < company(b);
+                         return load(a) < load(b);
                        });
-  const bool alone = company(*chosen).first == 0;
-  if (!alone && now < unit->waits_since + kQuietWorkerWait) return;
+  const bool alone = load(*chosen).first == 0;
+  if (!alone && now < unit->waiting_since + kQuietWorkerWait) return;
   chosen->capacity->free = Resources{};
   this->Start(unit, {chosen->capacity->session->Incarnation()});
 }
@@ -340,9 +342,9 @@
   unit->deadline_status = unit->deadlines.At(now);
 }
 
-void Dispatcher::AllowForGathering(std::vector<SchedulingUnit>* units,
-                                   const PassCapacity& capacities,
-                                   Instant now) const {
+void Dispatcher::AdvanceGangStartTimes(std::vector<SchedulingUnit>* units,
+                                       const PassCapacity& capacities,
+                                       Instant now) const {
   for (SchedulingUnit& unit : *units) {
     if (!unit.step->gang || unit.deadline_status == DeadlineStatus::kExpired)
       continue;
@@ -357,8 +359,8 @@
     // gathered must not make it less urgent, or others would take that room
     // and all would stand empty by turns.
     Instant& gather_by = unit.progress->gather_by;
-    gather_by =
-        std::min(gather_by, unit.start_by - kGatherMargin * (fit->at - now));
+    gather_by = std::min(gather_by,
+                         unit.start_by - kGatherTimeFactor * (fit->at - now));
     unit.start_by = gather_by;
   }
 }
@@ -396,7 +398,7 @@
 std::vector<Candidate> Dispatcher::Permitted(const SchedulingUnit& unit,
                                              const PassCapacity& capacities,
                                              Instant now,
-                                             PermitNeed need) const {
+                                             PermitFilter need) const {
   std::vector<Candidate> candidates;
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice == nullptr) return candidates;
@@ -404,7 +406,7 @@
   const Instant valid_at = now + kTicketMargin;
   for (const PermittedWorker& one : advice->permitted) {
     const bool holds = one.ticket.expires > valid_at;
-    if (need == PermitNeed::kHolds && !holds) continue;
+    if (need == PermitFilter::kValid && !holds) continue;
     WorkerCapacity* room = capacities.At(one.session);
     // The queue may have been given to another service meanwhile.
     const bool serves =
@@ -422,17 +424,17 @@
     return;
   }
   if (!unit->queue->advice) {
-    this->PlaceIn(unit, this->Candidates(*unit, capacities, now));
+    this->PlaceOn(unit, this->Candidates(*unit, capacities, now));
     return;
   }
-  this->PlaceIn(unit,
-                this->Permitted(*unit, capacities, now, PermitNeed::kHolds));
+  this->PlaceOn(unit,
+                this->Permitted(*unit, capacities, now, PermitFilter::kValid));
   if (!unit->step->gang || unit->tasks.empty()) return;
   // Most gangs that wait have too little room, and a pass looks at a hundred of
   // them; the search for places costs far more than this.
   if (!this->MayReserveCapacity(*unit, capacities)) return;
   if (!this->HasCapacity(*unit, capacities, now)) return;
-  this->PlaceIn(unit, this->GangCandidates(*unit, capacities, now));
+  this->PlaceOn(unit, this->GangCandidates(*unit, capacities, now));
 }
 
 bool Dispatcher::HasCapacity(const SchedulingUnit& unit,
@@ -449,12 +451,12 @@
       capacities.Capacity(unit.queue->service).cpu_milli);
 }
 
-void Dispatcher::PlaceIn(SchedulingUnit* unit,
+void Dispatcher::PlaceOn(SchedulingUnit* unit,
                          std::vector<Candidate> candidates) {
   if (candidates.empty()) return;
   // Failure: a worker fails part of what it runs, and the task that failed
   // there goes back to it until its attempts are used up.
-  const std::size_t others = PutFailedLast(*unit, &candidates);
+  const std::size_t others = MoveFailedWorkersLast(*unit, &candidates);
   const auto count = static_cast<std::int32_t>(unit->tasks.size());
   std::vector<WorkerIncarnation> workers =
       PlaceTasks(*unit->step, count, std::span(candidates).first(others));
@@ -479,12 +481,13 @@
                     unit->tasks.begin() + std::ssize(workers));
 }
 
-void Dispatcher::ConsiderAdvice(const SchedulingUnit& unit,
-                                const PassCapacity& capacities, Instant now) {
+void Dispatcher::RequestAdviceIfUseful(const SchedulingUnit& unit,
+                                       const PassCapacity& capacities,
+                                       Instant now) {
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice != nullptr) {
     if (advice->asking || now < unit.progress->ask_after) return;
-    unit.progress->ask_after = now + kAskPause;
+    unit.progress->ask_after = now + kAskInterval;
     if (this->WorkersToAsk(unit, capacities, now).empty()) return;
   }
   this->context->advice->RequestPermissions(
@@ -547,7 +550,7 @@
     const SchedulingUnit& unit, const PassCapacity& capacities,
     Instant now) const {
   return unit.queue->advice
-             ? this->Permitted(unit, capacities, now, PermitNeed::kKnown)
+             ? this->Permitted(unit, capacities, now, PermitFilter::kKnown)
              : this->Candidates(unit, capacities, now);
 }
 
@@ -559,9 +562,9 @@
                candidates, now);
 }
 
-WaitFacts Dispatcher::LookAtWait(const SchedulingUnit& unit,
-                                 const PassCapacity& capacities,
-                                 Instant now) const {
+WaitFacts Dispatcher::CollectWaitFacts(const SchedulingUnit& unit,
+                                       const PassCapacity& capacities,
+                                       Instant now) const {
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   WaitFacts facts;
@@ -593,7 +596,7 @@
   facts.fresh_room =
       facts.has_policy
           ? CountPlaceableTasks(unit, this->Permitted(unit, capacities, now,
-                                                      PermitNeed::kHolds))
+                                                      PermitFilter::kValid))
           : facts.room;
   facts.asking = advice != nullptr && advice->asking;
   facts.helped_by_question =
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -16,9 +16,9 @@
 namespace mustardproxy::jobs {
 
 /// Which permissions count when rooms are looked for.
-enum class PermitNeed {
+enum class PermitFilter {
   /// Those that still hold when a start sent now arrives.
-  kHolds,
+  kValid,
   /// All that were ever given, also those that have lapsed or were turned down:
   /// that a worker may run a step stays true for its life.
   kKnown,
@@ -38,9 +38,9 @@
  private:
   void Pass();
   /// Takes note of whether a worker does not answer.
-  void NoteSilent();
+  void UpdateAnySilent();
   /// Takes note of the workers whose health has changed.
-  void NoteEjected(Instant now);
+  void UpdateEjected(Instant now);
   std::vector<SchedulingUnit> CollectUnits(Instant now);
   void CollectUnits(JobEntry* entry, Instant now,
                     std::vector<SchedulingUnit>* units);
@@ -50,10 +50,10 @@
   std::optional<SchedulingUnit> SplitSuspicious(SchedulingUnit* unit) const;
   /// @return true if a task of the step is suspicious and none is known to be
   ///   sound
-  bool InDoubt(const SchedulingUnit& unit) const;
+  bool IsUnproven(const SchedulingUnit& unit) const;
   /// @return true if a worker fell silent that was told to start a run of the
   ///   step, and was not seen running it
-  bool MayHaveSilenced(const SchedulingUnit& unit) const;
+  bool MayHaveCrashedWorker(const SchedulingUnit& unit) const;
   /// @return the run of a task if it is open, else null
   const SessionRun* FindRun(const TaskRef& ref, const TaskEntry& task) const;
   const SessionRun* FindRun(const SchedulingUnit& unit,
@@ -63,8 +63,8 @@
   /// @return the time from a job's acceptance in which it should be done
   Duration Objective(const SchedulingUnit& unit) const;
   void Rank(SchedulingUnit* unit, Duration objective, Instant now) const;
-  void AllowForGathering(std::vector<SchedulingUnit>* units,
-                         const PassCapacity& capacities, Instant now) const;
+  void AdvanceGangStartTimes(std::vector<SchedulingUnit>* units,
+                             const PassCapacity& capacities, Instant now) const;
   void PlaceUnit(SchedulingUnit* unit, const PassCapacity& capacities,
                  Instant now);
   /// @return true if a gang's room is there, permissions that have lapsed aside
@@ -79,7 +79,7 @@
   /// @return true if one more worker may be kept for a suspicious task
   bool MayQuarantine() const;
   /// Starts what fits of the unit, a gang only whole.
-  void PlaceIn(SchedulingUnit* unit, std::vector<Candidate> candidates);
+  void PlaceOn(SchedulingUnit* unit, std::vector<Candidate> candidates);
   /// Rooms that the step may use, permissions aside.
   std::vector<Candidate> Candidates(const SchedulingUnit& unit,
                                     const PassCapacity& capacities,
@@ -87,7 +87,7 @@
   /// Rooms on workers that may run the step.
   std::vector<Candidate> Permitted(const SchedulingUnit& unit,
                                    const PassCapacity& capacities, Instant now,
-                                   PermitNeed need) const;
+                                   PermitFilter need) const;
   /// Rooms that a gang may use, whether its permissions have lapsed or not.
   std::vector<Candidate> GangCandidates(const SchedulingUnit& unit,
                                         const PassCapacity& capacities,
@@ -102,18 +102,18 @@
   Instant ExpectedEnd(const SchedulingUnit& unit, Instant now) const;
   void Start(SchedulingUnit* unit,
              const std::vector<WorkerIncarnation>& workers);
-  void ConsiderAdvice(const SchedulingUnit& unit,
-                      const PassCapacity& capacities, Instant now);
+  void RequestAdviceIfUseful(const SchedulingUnit& unit,
+                             const PassCapacity& capacities, Instant now);
   void HoldForGang(const SchedulingUnit& unit, const PassCapacity& capacities,
                    Instant now);
   /// @return what a step that waits has
-  WaitFacts LookAtWait(const SchedulingUnit& unit,
-                       const PassCapacity& capacities, Instant now) const;
+  WaitFacts CollectWaitFacts(const SchedulingUnit& unit,
+                             const PassCapacity& capacities, Instant now) const;
   SchedulingUnit MakeUnit(JobEntry* entry, const StepRef& ref) const;
 
   OwnerContext* context;
   WaitReport waits;
-  bool kicked = false;
+  bool pass_scheduled = false;
   /// In this pass: a worker that runs something does not answer.
   bool any_silent = false;
   Instant last_pass;
--- a/packages/jobs/src/scheduling_unit.h
+++ b/packages/jobs/src/scheduling_unit.h
@@ -20,7 +20,7 @@
   /// Its task may take a worker down and starts apart from others.
   bool quarantined = false;
   /// Since when that task has waited.
-  Instant waits_since;
+  Instant waiting_since;
   StartDeadlines deadlines;
   DeadlineStatus deadline_status = DeadlineStatus::kOnTime;
   /// When the step has to be begun for the job to be done in time: a gang's
