--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -8,9 +8,9 @@
 using std::chrono::seconds;
 
 /// Pause between two lines about one step, and before the first.
-constexpr Duration kPause = seconds(2);
+constexpr Duration kReportInterval = seconds(2);
 /// Most lines a second: a fortieth of what the log takes.
-constexpr std::int32_t kMaxLines = 50;
+constexpr std::int32_t kMaxLinesPerSecond = 50;
 
 std::string_view Name(DeadlineStatus deadline_status) {
   switch (deadline_status) {
@@ -44,25 +44,25 @@
   return "none";
 }
 
-std::string_view Name(WaitEnd end) {
+std::string_view Name(UnblockEvent end) {
   switch (end) {
-    case WaitEnd::kAnswer:
+    case UnblockEvent::kAnswer:
       return "answer";
-    case WaitEnd::kQuestion:
+    case UnblockEvent::kQuestion:
       return "question";
-    case WaitEnd::kPass:
+    case UnblockEvent::kPass:
       return "pass";
-    case WaitEnd::kReservations:
+    case UnblockEvent::kReservations:
       return "reservations";
-    case WaitEnd::kRuns:
+    case UnblockEvent::kRuns:
       return "runs";
-    case WaitEnd::kQuarantine:
+    case UnblockEvent::kQuarantine:
       return "quarantine";
-    case WaitEnd::kHold:
+    case UnblockEvent::kHold:
       return "hold";
-    case WaitEnd::kWorkers:
+    case UnblockEvent::kWorkers:
       return "workers";
-    case WaitEnd::kNothing:
+    case UnblockEvent::kNothing:
       break;
   }
   return "nothing";
@@ -79,23 +79,23 @@
   return WaitReason::kNone;
 }
 
-WaitEnd WaitFacts::End() const {
-  if (this->asking) return WaitEnd::kAnswer;
-  if (this->helped_by_question) return WaitEnd::kQuestion;
+UnblockEvent WaitFacts::NextUnblockEvent() const {
+  if (this->asking) return UnblockEvent::kAnswer;
+  if (this->helped_by_question) return UnblockEvent::kQuestion;
   if (!this->gang && this->fresh_room >= this->needed) {
-    return this->quarantined ? WaitEnd::kQuarantine : WaitEnd::kPass;
+    return this->quarantined ? UnblockEvent::kQuarantine : UnblockEvent::kPass;
   }
   const bool has_room = this->room >= this->needed;
-  if (has_room && this->room_taken_by_gangs) return WaitEnd::kReservations;
+  if (has_room && this->room_taken_by_gangs) return UnblockEvent::kReservations;
   // Other tasks ask only where there is room, and not if a worker whose
   // permission holds has room soon.
   const bool waits_for_runs = !this->gang || !has_room;
-  if (waits_for_runs && this->fits_later) return WaitEnd::kRuns;
-  if (this->held > 0) return WaitEnd::kHold;
+  if (waits_for_runs && this->fits_later) return UnblockEvent::kRuns;
+  if (this->held > 0) return UnblockEvent::kHold;
   const bool all_known =
       !this->has_policy || this->permitted + this->refused >= this->eligible;
-  if (!has_room && all_known) return WaitEnd::kWorkers;
-  return WaitEnd::kNothing;
+  if (!has_room && all_known) return UnblockEvent::kWorkers;
+  return UnblockEvent::kNothing;
 }
 
 WaitReport::WaitReport(EventLog* log, Metrics* metrics)
@@ -103,15 +103,15 @@
 
 bool WaitReport::Due(const SchedulingUnit& unit, Instant now) {
   Instant& report_after = unit.progress->report_after;
-  if (report_after == Instant()) report_after = now + kPause;
+  if (report_after == Instant()) report_after = now + kReportInterval;
   if (now < report_after) return false;
   if (now - this->second >= seconds(1)) {
     this->second = now;
     this->lines = 0;
   }
-  if (this->lines == kMaxLines) return false;
+  if (this->lines == kMaxLinesPerSecond) return false;
   ++this->lines;
-  report_after = now + kPause;
+  report_after = now + kReportInterval;
   return true;
 }
 
@@ -123,7 +123,7 @@
       {{"step", Text(unit.ref)},
        {"queue", unit.queue->name.Text()},
        {"reason", reason},
-       {"until", Name(facts.End())},
+       {"until", Name(facts.NextUnblockEvent())},
        {"tasks", unit.tasks.size()},
        {"needed", facts.needed},
        {"lateness", Name(unit.deadline_status)},
--- a/packages/jobs/src/wait_report.h
+++ b/packages/jobs/src/wait_report.h
@@ -33,7 +33,7 @@
 [[nodiscard]] std::string_view Name(WaitReason reason);
 
 /// What ends the wait of a step.
-enum class WaitEnd {
+enum class UnblockEvent {
   /// The answer to a question that is queued or on its way.
   kAnswer,
   /// A question that is to be asked.
@@ -59,7 +59,7 @@
 /// @return `answer`, `question`, `pass`, `reservations`, `runs`, `quarantine`,
 /// `hold`,
 ///   `workers` or `nothing`
-[[nodiscard]] std::string_view Name(WaitEnd end);
+[[nodiscard]] std::string_view Name(UnblockEvent end);
 
 /// What a step that waits has, in tasks of its own.
 struct WaitFacts {
@@ -93,7 +93,7 @@
   bool fits_later = false;
 
   [[nodiscard]] WaitReason Reason() const;
-  [[nodiscard]] WaitEnd End() const;
+  [[nodiscard]] UnblockEvent NextUnblockEvent() const;
 };
 
 /// Says what steps wait for: a line a step every two seconds, a bounded number
--- a/packages/jobs/tests/wait_report_test.cc
+++ b/packages/jobs/tests/wait_report_test.cc
@@ -54,25 +54,25 @@
 BOOST_AUTO_TEST_CASE(a_wait_ends_by_the_first_thing_that_helps) {
   WaitFacts facts = MakeFacts(8, 2, 0);
   facts.permitted = 2;
-  BOOST_TEST((facts.End() == WaitEnd::kNothing));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kNothing));
   facts.refused = 1;
-  BOOST_TEST((facts.End() == WaitEnd::kWorkers));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kWorkers));
   facts.held = 1;
-  BOOST_TEST((facts.End() == WaitEnd::kHold));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kHold));
   facts.fits_later = true;
-  BOOST_TEST((facts.End() == WaitEnd::kRuns));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kRuns));
   facts.helped_by_question = true;
-  BOOST_TEST((facts.End() == WaitEnd::kQuestion));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kQuestion));
   facts.asking = true;
-  BOOST_TEST((facts.End() == WaitEnd::kAnswer));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kAnswer));
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_with_room_waits_only_for_others_that_took_theirs) {
   WaitFacts facts = MakeFacts(8, 4, 0);
   facts.gang = true;
-  BOOST_TEST((facts.End() == WaitEnd::kNothing));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kNothing));
   facts.room_taken_by_gangs = true;
-  BOOST_TEST((facts.End() == WaitEnd::kReservations));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kReservations));
 }
 
 // A caller asks for a label that no worker has. Its job waits, and the log says
