--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -11,13 +11,13 @@
 
 /// How long the room of a gang stays empty for it once its start is stored: two
 /// questions about the most workers. Longer only if the policy service fails.
-constexpr Duration kLongestReservation = milliseconds(3000);
+constexpr Duration kMaxReservationTime = milliseconds(3000);
 /// Share of the cell's processors that may stand empty for gangs whose question
 /// is being answered before one more may take its room: urgent tasks find room
 /// in the rest.
 constexpr double kMaxReservedShare = 0.05;
 /// How long a gang that was given up on leaves the room to others.
-constexpr Duration kReservationPause = seconds(1);
+constexpr Duration kReservationBackoff = seconds(1);
 
 }  // namespace
 
@@ -65,7 +65,7 @@
 bool GangReservations::MayAdd(std::int64_t cell_cpu_milli) const {
   std::int64_t reserved = 0;
   for (const auto& [step, reservation] : this->reservations) {
-    if (reservation.asks) reserved += reservation.cpu_milli;
+    if (reservation.awaits_permission) reserved += reservation.cpu_milli;
   }
   return MayReserve(reserved, cell_cpu_milli);
 }
@@ -92,7 +92,7 @@
   return asked;
 }
 
-bool GangReservations::IsWhole(const Reservation& reservation) {
+bool GangReservations::AllRunsPlanned(const Reservation& reservation) {
   for (std::size_t i = 0; i < reservation.runs.size(); ++i) {
     WorkerSession* session =
         this->context->workers.Find(reservation.workers[i]);
@@ -120,18 +120,18 @@
 std::vector<AskedWorker> GangReservations::Unpermitted(
     const StepRef& step, const Reservation& reservation, Instant moment) {
   const StepAdvice* advice = this->context->advice->Find(step);
-  std::map<WorkerId, SessionNumber> lacking;
+  std::map<WorkerId, SessionNumber> unpermitted;
   for (const WorkerIncarnation& worker : reservation.workers) {
     const WorkerSession* session = this->context->workers.Find(worker);
     if (session == nullptr) continue;
     const Ticket* ticket =
         advice == nullptr ? nullptr : advice->TicketFor(session->Number());
     const bool holds = ticket != nullptr && ticket->expires > moment;
-    if (!holds) lacking.emplace(worker.id, session->Number());
+    if (!holds) unpermitted.emplace(worker.id, session->Number());
   }
   std::vector<AskedWorker> asked;
-  asked.reserve(lacking.size());
-  for (const auto& [worker, number] : lacking) {
+  asked.reserve(unpermitted.size());
+  for (const auto& [worker, number] : unpermitted) {
     asked.push_back({worker, number});
   }
   return asked;
@@ -142,17 +142,17 @@
   if (found == this->reservations.end()) return;
   Reservation& reservation = found->second;
   const Instant now = this->context->executor->Now();
-  reservation.asks =
+  reservation.awaits_permission =
       !this->Unpermitted(step, reservation, now + kTicketMargin).empty();
-  if (!this->IsWhole(reservation)) {
+  if (!this->AllRunsPlanned(reservation)) {
     this->GiveUp(step, "a member was stopped or lost");
   } else if (this->IsRefused(step, reservation)) {
     this->GiveUp(step, "a worker is not permitted");
-  } else if (reservation.asks) {
+  } else if (reservation.awaits_permission) {
     // Nothing else could start either while the store does not answer.
-    const bool too_long =
-        reservation.stored && now - reservation.since > kLongestReservation;
-    if (too_long) {
+    const bool timed_out =
+        reservation.stored && now - reservation.since > kMaxReservationTime;
+    if (timed_out) {
       this->GiveUp(step, "no permissions in time");
     } else {
       this->Ask(step);
@@ -194,7 +194,7 @@
                              {"stored", reservation.stored ? 1 : 0},
                              {"reason", reason}});
   this->context->runs->StopGang(reservation.runs.front());
-  const Instant later = this->context->executor->Now() + kReservationPause;
+  const Instant later = this->context->executor->Now() + kReservationBackoff;
   for (const RunRef& run : reservation.runs) {
     TaskEntry* task = this->context->jobs.FindTask(run.task);
     if (task != nullptr && !task->open) task->not_before = later;
--- a/packages/jobs/src/gang_reservations.h
+++ b/packages/jobs/src/gang_reservations.h
@@ -62,12 +62,12 @@
     Instant since;
     std::int64_t cpu_milli = 0;
     /// Its question is still to be answered.
-    bool asks = false;
+    bool awaits_permission = false;
   };
 
   void Check(const StepRef& step);
   /// @return true if each of its runs still waits to be sent
-  [[nodiscard]] bool IsWhole(const Reservation& reservation);
+  [[nodiscard]] bool AllRunsPlanned(const Reservation& reservation);
   [[nodiscard]] bool IsRefused(const StepRef& step,
                                const Reservation& reservation);
   /// @return the workers whose permission does not hold at `moment`
