--- a/packages/jobs/src/advice_selection.cc
+++ b/packages/jobs/src/advice_selection.cc
@@ -51,12 +51,13 @@
 ///   renewed its permissions again and again.
 std::int64_t CountFittingAtAnswer(const AdviceSelectionInput& input,
                                   const Candidate& candidate) {
-  WorkerCapacity room = *candidate.capacity;
+  WorkerCapacity capacity = *candidate.capacity;
   if (!input.step->gang) {
-    room.free = room.session->FreeBy(input.now, input.answer_due, room.free);
+    capacity.free =
+        capacity.session->FreeBy(input.now, input.answer_due, capacity.free);
   }
   Candidate then = candidate;
-  then.capacity = &room;
+  then.capacity = &capacity;
   return CountPlaceable(*input.step, then, input.tasks);
 }
 
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -370,16 +370,17 @@
                                                unit.step->estimate);
 }
 
-void Dispatcher::AddCandidate(const SchedulingUnit& unit, WorkerCapacity* room,
-                              Instant end,
+void Dispatcher::AddCandidate(const SchedulingUnit& unit,
+                              WorkerCapacity* capacity, Instant end,
                               std::vector<Candidate>* candidates) const {
-  if (room->held && end > room->held_until) return;
-  if (!room->session->HasLabel(unit.step->required_label)) return;
-  if (!TaskDemand(*unit.step).FitsIn(room->free) && !unit.step->gang) return;
-  Candidate candidate{.capacity = room};
+  if (capacity->held && end > capacity->held_until) return;
+  if (!capacity->session->HasLabel(unit.step->required_label)) return;
+  if (!TaskDemand(*unit.step).FitsIn(capacity->free) && !unit.step->gang)
+    return;
+  Candidate candidate{.capacity = capacity};
   if (unit.step->max_per_worker > 0) {
     candidate.siblings =
-        CountSiblings(*unit.progress, room->session->Incarnation());
+        CountSiblings(*unit.progress, capacity->session->Incarnation());
   }
   candidates->push_back(candidate);
 }
@@ -389,8 +390,8 @@
                                               Instant now) const {
   std::vector<Candidate> candidates;
   const Instant end = this->ExpectedEnd(unit, now);
-  for (WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
-    this->AddCandidate(unit, room, end, &candidates);
+  for (WorkerCapacity* capacity : capacities.OfService(unit.queue->service)) {
+    this->AddCandidate(unit, capacity, end, &candidates);
   }
   return candidates;
 }
@@ -407,11 +408,11 @@
   for (const PermittedWorker& one : advice->permitted) {
     const bool holds = one.ticket.expires > valid_at;
     if (need == PermitFilter::kValid && !holds) continue;
-    WorkerCapacity* room = capacities.At(one.session);
+    WorkerCapacity* capacity = capacities.At(one.session);
     // The queue may have been given to another service meanwhile.
-    const bool serves =
-        room != nullptr && room->session->info.service == unit.queue->service;
-    if (serves) this->AddCandidate(unit, room, end, &candidates);
+    const bool serves = capacity != nullptr &&
+                        capacity->session->info.service == unit.queue->service;
+    if (serves) this->AddCandidate(unit, capacity, end, &candidates);
   }
   return candidates;
 }
@@ -523,10 +524,10 @@
   input.answer_due = now + policy.decision + policy.per_worker * tasks;
   std::vector<Candidate> candidates;
   const Instant end = this->ExpectedEnd(unit, input.answer_due);
-  for (WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
-    if (room->held && end > room->held_until) continue;
-    if (!room->session->HasLabel(unit.step->required_label)) continue;
-    candidates.push_back({.capacity = room});
+  for (WorkerCapacity* capacity : capacities.OfService(unit.queue->service)) {
+    if (capacity->held && end > capacity->held_until) continue;
+    if (!capacity->session->HasLabel(unit.step->required_label)) continue;
+    candidates.push_back({.capacity = capacity});
   }
   return SelectWorkersToAsk(input, candidates);
 }
@@ -576,14 +577,15 @@
     facts.permitted = std::ssize(advice->permitted);
     facts.refused = std::ssize(advice->refused);
   }
-  for (const WorkerCapacity* room : capacities.OfService(unit.queue->service)) {
-    const WorkerSession& session = *room->session;
+  for (const WorkerCapacity* capacity :
+       capacities.OfService(unit.queue->service)) {
+    const WorkerSession& session = *capacity->session;
     if (!session.HasLabel(unit.step->required_label)) continue;
     const std::int64_t fits =
         CountFitting(*unit.step, session.info.capacity, tasks);
     if (fits == 0) continue;
     ++facts.eligible;
-    if (room->held) ++facts.held;
+    if (capacity->held) ++facts.held;
     const bool permitted =
         !facts.has_policy ||
         (advice != nullptr && advice->TicketFor(session.Number()) != nullptr);
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -92,7 +92,7 @@
   std::vector<Candidate> GangCandidates(const SchedulingUnit& unit,
                                         const PassCapacity& capacities,
                                         Instant now) const;
-  void AddCandidate(const SchedulingUnit& unit, WorkerCapacity* room,
+  void AddCandidate(const SchedulingUnit& unit, WorkerCapacity* capacity,
                     Instant end, std::vector<Candidate>* candidates) const;
   /// @return workers that a question about the step would be about; none if it
   ///   would not help
--- a/packages/jobs/src/pass_capacity.cc
+++ b/packages/jobs/src/pass_capacity.cc
@@ -17,13 +17,13 @@
   this->capacities.reserve(workers.Size());
   for (const auto& [id, session] : workers) {
     if (!TakesTasks(*session)) continue;
-    WorkerCapacity& room = this->capacities.emplace_back();
-    room.session = session.get();
-    room.free = session->Free();
-    this->by_session[session->Number()] = &room;
+    WorkerCapacity& capacity = this->capacities.emplace_back();
+    capacity.session = session.get();
+    capacity.free = session->Free();
+    this->by_session[session->Number()] = &capacity;
     ServiceCapacity& service = this->services[session->info.service];
-    service.capacities.push_back(&room);
-    service.most = ComponentMax(service.most, room.free);
+    service.capacities.push_back(&capacity);
+    service.most = ComponentMax(service.most, capacity.free);
     service.capacity += session->info.capacity;
   }
 }
--- a/packages/jobs/tests/advice_selection_test.cc
+++ b/packages/jobs/tests/advice_selection_test.cc
@@ -26,10 +26,10 @@
     info.capacity = {16'000, 64'000, 0, 0};
     this->sessions.push_back(std::make_unique<WorkerSession>(
         number, info, Instant(), Instant::min()));
-    auto room = std::make_unique<WorkerCapacity>();
-    room->session = this->sessions.back().get();
-    room->free = {tasks * 1000, 64'000, 0, 0};
-    this->capacities.push_back(std::move(room));
+    auto capacity = std::make_unique<WorkerCapacity>();
+    capacity->session = this->sessions.back().get();
+    capacity->free = {tasks * 1000, 64'000, 0, 0};
+    this->capacities.push_back(std::move(capacity));
     return number;
   }
   void Permit(SessionNumber session, Instant expires) {
@@ -47,8 +47,8 @@
     input.now = kNow;
     input.answer_due = kAnswerDue;
     std::vector<Candidate> candidates;
-    for (const auto& room : this->capacities) {
-      candidates.push_back({.capacity = room.get()});
+    for (const auto& capacity : this->capacities) {
+      candidates.push_back({.capacity = capacity.get()});
     }
     std::vector<SessionNumber> chosen;
     for (const AskedWorker& worker : SelectWorkersToAsk(input, candidates)) {
--- a/packages/jobs/tests/placement_test.cc
+++ b/packages/jobs/tests/placement_test.cc
@@ -27,16 +27,16 @@
     info.capacity = {16'000, 64'000, 0, 0};
     this->sessions.push_back(std::make_unique<WorkerSession>(
         static_cast<SessionNumber>(number), info, Instant(), Instant::min()));
-    WorkerCapacity room;
-    room.session = this->sessions.back().get();
-    room.free = {free_cpu, 64'000, 0, 0};
-    this->capacities.push_back(room);
+    WorkerCapacity capacity;
+    capacity.session = this->sessions.back().get();
+    capacity.free = {free_cpu, 64'000, 0, 0};
+    this->capacities.push_back(capacity);
   }
 
   std::vector<Candidate> Candidates() {
     std::vector<Candidate> candidates;
-    for (WorkerCapacity& room : this->capacities)
-      candidates.push_back({.capacity = &room});
+    for (WorkerCapacity& capacity : this->capacities)
+      candidates.push_back({.capacity = &capacity});
     return candidates;
   }
 
