--- a/packages/jobs/tests/advice_selection_test.cc
+++ b/packages/jobs/tests/advice_selection_test.cc
@@ -71,7 +71,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(advice_selection, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_first_question_is_about_those_with_most_room) {
+BOOST_AUTO_TEST_CASE(a_first_question_covers_workers_with_most_capacity) {
   for (int i = 0; i < 20; ++i) Add(1);
   const SessionNumber roomy = Add(8);
   const auto chosen = Choose(2, false);
@@ -79,7 +79,7 @@
   BOOST_TEST(chosen.front() == roomy);
 }
 
-BOOST_AUTO_TEST_CASE(workers_without_room_are_not_asked_about) {
+BOOST_AUTO_TEST_CASE(workers_without_capacity_are_not_asked_about) {
   for (int i = 0; i < 10; ++i) Add(0);
   const SessionNumber only = Add(1);
   const auto chosen = Choose(4, false);
@@ -109,7 +109,7 @@
   for (const SessionNumber one : chosen) BOOST_TEST(one < 6U);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_that_does_not_fit_there_learns_of_others) {
+BOOST_AUTO_TEST_CASE(a_gang_that_does_not_fit_asks_about_others) {
   for (int i = 0; i < 30; ++i) Add(1);
   for (SessionNumber i = 0; i < 4; ++i) Permit(i, kAnswerDue + seconds(1));
   const auto chosen = Choose(8, true);
@@ -119,7 +119,7 @@
 
 // The cell is nearly full: a gang that asks only about workers with room learns
 // of two at a time, and asks a dozen times before it may start.
-BOOST_AUTO_TEST_CASE(a_gang_learns_of_full_workers_too) {
+BOOST_AUTO_TEST_CASE(a_gang_also_asks_about_full_workers) {
   for (int i = 0; i < 40; ++i) Add(0);
   Add(1);
   Permit(40, kAnswerDue + seconds(1));
@@ -138,7 +138,7 @@
 
 // One more worker costs a hundredth of the question: few questions about many
 // workers use the policy service less than many about few.
-BOOST_AUTO_TEST_CASE(dear_questions_are_about_many_workers) {
+BOOST_AUTO_TEST_CASE(expensive_questions_cover_many_workers) {
   for (int i = 0; i < 200; ++i) Add(4);
   workers_per_fixed_cost = 60;
   BOOST_TEST(Choose(2, false).size() == 30U);
@@ -148,7 +148,7 @@
   BOOST_TEST(Choose(8, true).size() == kMaxAdviceWorkers);
 }
 
-BOOST_AUTO_TEST_CASE(room_that_should_be_free_in_time_counts) {
+BOOST_AUTO_TEST_CASE(capacity_expected_to_be_free_counts) {
   const SessionNumber busy = Add(0);
   SessionRun record;
   record.takes = {2000, 0, 0, 0};
--- a/packages/jobs/tests/cell_basic_test.cc
+++ b/packages/jobs/tests/cell_basic_test.cc
@@ -31,7 +31,7 @@
   CheckInvariants(cell.get());
 }
 
-BOOST_AUTO_TEST_CASE(every_process_tells_the_state_of_every_job) {
+BOOST_AUTO_TEST_CASE(every_process_reports_the_state_of_every_job) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 1000, seconds(2))}), 2);
   cell->Time().RunFor(milliseconds(500));
--- a/packages/jobs/tests/cell_capacity_test.cc
+++ b/packages/jobs/tests/cell_capacity_test.cc
@@ -22,7 +22,7 @@
 BOOST_AUTO_TEST_SUITE(cell_capacity)
 
 // Guards against starts that were placed in room which is gone once they leave.
-BOOST_AUTO_TEST_CASE(a_start_that_waited_for_the_store_fits_the_room_of_now) {
+BOOST_AUTO_TEST_CASE(a_delayed_start_is_checked_against_current_capacity) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   cell->Store().leases_run_on = false;
   Step second = MakeStep(2, 7000, seconds(1));
@@ -43,7 +43,7 @@
 }
 
 // Guards against placing by what a worker had, or not using what it has again.
-BOOST_AUTO_TEST_CASE(room_follows_what_a_worker_says_it_has) {
+BOOST_AUTO_TEST_CASE(placement_follows_registered_capacity) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   SimWorker* worker = cell->Workers().Find("w0");
   cell->Submit(MakeSpec({MakeStep(2, 5000, seconds(12))}));
--- a/packages/jobs/tests/cell_gang_test.cc
+++ b/packages/jobs/tests/cell_gang_test.cc
@@ -61,7 +61,7 @@
 // room it asked for them anew; while the question was answered urgent work took
 // some of the room, and when that had ended the permissions had lapsed again.
 // Counted: the log of such a step, 24 renewals in 13 s, each granted whole.
-BOOST_AUTO_TEST_CASE(room_of_a_gang_is_not_lost_while_its_question_is_asked) {
+BOOST_AUTO_TEST_CASE(gang_capacity_is_kept_while_permissions_are_requested) {
   const auto cell =
       SimCell::Builder().Workers(4).Queue(MakeSlowPolicyQueue(), 1.0).Build();
   cell->Submit(MakeSpec({MakeStep(4, 4000, seconds(3))}));
@@ -78,7 +78,7 @@
 
 // A gang can't be done in time any more, its permissions have lapsed, and then
 // the cell is empty. Its caller still waits for the end: it has to start.
-BOOST_AUTO_TEST_CASE(a_gang_that_is_hopeless_starts_once_there_is_room) {
+BOOST_AUTO_TEST_CASE(an_expired_gang_starts_once_capacity_is_free) {
   Queue queue = MakeSlowPolicyQueue();
   queue.stretch = 1.0;
   queue.target = milliseconds(100);
@@ -112,7 +112,7 @@
 // gang knew one permitted worker with room enough, so it asked about no other,
 // and took no room there either, since a permission that was turned down did
 // not count for that. It waited for good, in an empty cell.
-BOOST_AUTO_TEST_CASE(a_gang_whose_permission_was_turned_down_starts) {
+BOOST_AUTO_TEST_CASE(a_gang_whose_permission_was_rejected_starts) {
   const auto cell = SimCell::Builder()
                         .Processes(1)
                         .Workers(1)
--- a/packages/jobs/tests/cell_proposal_test.cc
+++ b/packages/jobs/tests/cell_proposal_test.cc
@@ -100,7 +100,7 @@
 // The owner dies between the write of a proposed job's start and that of the
 // job itself. The next owner finds progress of a job that it does not know, and
 // takes it up when the job appears.
-BOOST_AUTO_TEST_CASE(progress_that_comes_before_its_job_is_taken_up) {
+BOOST_AUTO_TEST_CASE(progress_stored_before_its_job_is_adopted) {
   const Job job = MakeJob("early", 1000);
   cell->Judge().Add(job);
   Propose(job);
--- a/packages/jobs/tests/cell_takeover_test.cc
+++ b/packages/jobs/tests/cell_takeover_test.cc
@@ -66,7 +66,7 @@
 
 // The owner's process dies and is started again at once. Its former run is over
 // for certain, so nobody waits for its lease at the store to lapse.
-BOOST_AUTO_TEST_CASE(an_owner_that_was_started_anew_is_replaced_at_once) {
+BOOST_AUTO_TEST_CASE(a_restarted_owner_is_replaced_at_once) {
   Load(6, seconds(5));
   cell->Time().RunFor(seconds(1));
   const std::size_t owner = Owner();
@@ -99,7 +99,7 @@
 // lease ended, an election and jobs, progress and workers read in a row,
 // nothing was placed for 1.0 s. It hands the group over instead and decides
 // until then.
-BOOST_AUTO_TEST_CASE(a_stop_over_a_slow_store_costs_one_reading) {
+BOOST_AUTO_TEST_CASE(handover_over_a_slow_store_takes_one_read) {
   Load(6, seconds(8));
   cell->Time().RunFor(seconds(1));
   cell->Store().latency = milliseconds(250);
@@ -134,7 +134,7 @@
 
 // The owner stands still for longer than its lease; another one takes over.
 // When it wakes, what it had in hand is refused by the workers and the store.
-BOOST_AUTO_TEST_CASE(an_owner_that_wakes_up_late_does_no_harm) {
+BOOST_AUTO_TEST_CASE(an_owner_resumed_after_its_lease_is_fenced) {
   Load(8, seconds(3));
   cell->Time().RunFor(milliseconds(100));
   const std::size_t owner = Owner();
@@ -149,7 +149,7 @@
 
 // The store is silent for everybody for longer than all leases there last.
 // Tasks run on, and in the end each has run once.
-BOOST_AUTO_TEST_CASE(work_outlives_an_outage_of_the_store) {
+BOOST_AUTO_TEST_CASE(tasks_survive_a_store_outage) {
   Load(6, seconds(12));
   cell->Time().RunFor(seconds(1));
   cell->Store().silent = true;
@@ -162,7 +162,7 @@
 
 // The store takes all leases away at once while everything is well. The group
 // gets a new owner, and what runs is not run again.
-BOOST_AUTO_TEST_CASE(revoked_leases_cost_no_work) {
+BOOST_AUTO_TEST_CASE(revoked_leases_restart_no_tasks) {
   Load(6, seconds(6));
   cell->Time().RunFor(seconds(1));
   cell->Store().RevokeLeases();
@@ -201,7 +201,7 @@
 
 // The answers to the store's writes are lost, and some writes are done seconds
 // later, over newer ones if nothing prevents it.
-BOOST_AUTO_TEST_CASE(lost_and_late_writes_take_nothing_back) {
+BOOST_AUTO_TEST_CASE(lost_and_late_writes_revert_nothing) {
   cell->Store().lost_answers = 0.3;
   cell->Store().late_writes = 0.3;
   for (int i = 0; i < 10; ++i) {
@@ -216,7 +216,7 @@
 
 // The store forgets its history while workers come and go: a watch that goes on
 // from an old revision would miss them.
-BOOST_AUTO_TEST_CASE(a_forgotten_history_hides_no_change) {
+BOOST_AUTO_TEST_CASE(compaction_hides_no_change) {
   cell->Store().Compact();
   job_sim::SimWorker* added = cell->AddWorker();
   cell->Store().Compact();
@@ -280,7 +280,7 @@
 
 // The store turns one process away and serves the others. What callers hand in
 // there is stored by another process, at once.
-BOOST_AUTO_TEST_CASE(a_process_that_the_store_turns_away_still_takes_jobs_in) {
+BOOST_AUTO_TEST_CASE(a_process_refused_by_the_store_still_accepts_jobs) {
   const std::size_t away = (Owner() + 1) % 3;
   cell->ProcessAt(away)->store_cut = true;
   const Instant begun = cell->Time().Now();
@@ -329,7 +329,7 @@
 // second. Most of them are told truly that nothing was stored, and can come
 // back; only those whose writes the silence swallowed must be told that nobody
 // knows.
-BOOST_AUTO_TEST_CASE(few_callers_of_a_silent_store_are_left_in_doubt) {
+BOOST_AUTO_TEST_CASE(few_callers_of_a_silent_store_get_an_unknown_outcome) {
   cell->Time().RunFor(seconds(1));
   cell->Store().silent = true;
   int refused = 0;
@@ -358,7 +358,7 @@
 // there are told truly, and soon, that nothing was stored: they can come back,
 // and are then led elsewhere. Asking a process on the other side of the cut
 // left each of them in doubt until its time was up.
-BOOST_AUTO_TEST_CASE(callers_of_a_cut_off_process_are_refused_truly) {
+BOOST_AUTO_TEST_CASE(callers_of_a_partitioned_process_are_refused) {
   const std::size_t cut = (Owner() + 1) % 3;
   cell->ProcessAt(cut)->store_cut = true;
   cell->ProcessAt(cut)->peers_cut = true;
@@ -386,7 +386,7 @@
 // A process starts while the store refuses everybody, and asks for a lease ten
 // times a second. The log would be full of it, or, with no line at all, nobody
 // would see why the process is not ready.
-BOOST_AUTO_TEST_CASE(a_lease_that_is_not_granted_is_told_of_once) {
+BOOST_AUTO_TEST_CASE(a_lease_that_is_not_granted_is_logged_once) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   cell->KillProcess(2);
   cell->Store().refusing = true;
@@ -401,7 +401,7 @@
 
 // A process of another version registers with a record that this one can't
 // read. Every process says so and serves on with those that it understands.
-BOOST_AUTO_TEST_CASE(a_record_that_cannot_be_read_is_told_of) {
+BOOST_AUTO_TEST_CASE(an_unreadable_record_is_logged) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   cell->Store().Put("mustardproxy/cell/node/later", "\x07");
   cell->Time().RunFor(seconds(1));
--- a/packages/jobs/tests/placement_test.cc
+++ b/packages/jobs/tests/placement_test.cc
@@ -137,7 +137,7 @@
 
 // A gang needs both workers whole. Small tasks would take each gap as it opens;
 // only those that end before the gang's moment may.
-BOOST_AUTO_TEST_CASE(room_is_held_until_the_gang_should_fit) {
+BOOST_AUTO_TEST_CASE(capacity_is_held_until_the_gang_should_fit) {
   Add(0);
   Add(8000);
   Run(0, 16'000, kNow + seconds(3));
--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -67,7 +67,7 @@
 // The hosts can't ask about all that waits. What brings most for the policy
 // service's time goes first: much work, cheap answers, and what can still be in
 // time before what is late, and both before what nobody waits for any more.
-BOOST_AUTO_TEST_CASE(what_pays_most_goes_first) {
+BOOST_AUTO_TEST_CASE(highest_value_per_cost_goes_first) {
   // The oldest has the first turn.
   Push("oldest", seconds(1));
   Push("hopeless", seconds(900), DeadlineStatus::kExpired);
@@ -84,7 +84,7 @@
   BOOST_TEST(queue.At(3).request.step.job.Text() == "hopeless");
 }
 
-BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_a_dear_one) {
+BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_an_expensive_one) {
   Push("oldest", seconds(1));
   Push("dear", seconds(100), DeadlineStatus::kOnTime, milliseconds(600));
   Push("cheap", seconds(60), DeadlineStatus::kOnTime, milliseconds(200));
@@ -96,7 +96,7 @@
 
 // Wide gangs come faster than the hosts can ask, and a narrow one is behind all
 // of them each time. It has its turn when it is the oldest.
-BOOST_AUTO_TEST_CASE(what_pays_least_has_its_turn) {
+BOOST_AUTO_TEST_CASE(lowest_value_question_is_sent_when_oldest) {
   Push("narrow", seconds(1));
   queue.CountLongSent();
   std::vector<std::string> sent;
@@ -112,7 +112,7 @@
 
 // What nobody waits for any more is older than all others, and takes none of
 // the time of what is only late; but it ends.
-BOOST_AUTO_TEST_CASE(what_is_hopeless_has_few_turns) {
+BOOST_AUTO_TEST_CASE(expired_questions_are_rarely_promoted) {
   Push("hopeless", seconds(1), DeadlineStatus::kExpired);
   queue.CountLongSent();
   std::vector<std::string> sent;
@@ -127,7 +127,7 @@
 }
 
 // A step that could be in time when it was asked for has waited, and is late.
-BOOST_AUTO_TEST_CASE(hope_is_that_of_the_moment) {
+BOOST_AUTO_TEST_CASE(deadline_status_follows_the_clock) {
   const StartDeadlines deadlines{.on_time = kNow, .useful = kNow + seconds(5)};
   BOOST_TEST((deadlines.At(kNow) == DeadlineStatus::kOnTime));
   BOOST_TEST((deadlines.At(kNow + seconds(1)) == DeadlineStatus::kLate));
@@ -142,7 +142,7 @@
 }
 
 // A step that declares nothing, or lasts for ever, must not count for nothing.
-BOOST_AUTO_TEST_CASE(all_work_counts_for_something) {
+BOOST_AUTO_TEST_CASE(undeclared_work_has_a_minimum) {
   BOOST_TEST(DeclaredWork(MakeStep(4, 2000, seconds(3)), 4).count() ==
              Duration(seconds(24)).count());
   BOOST_TEST(DeclaredWork(MakeStep(1, 0, seconds(0)), 1).count() > 0);
--- a/packages/jobs/tests/schedules_test.cc
+++ b/packages/jobs/tests/schedules_test.cc
@@ -80,7 +80,7 @@
 
 BOOST_AUTO_TEST_SUITE(schedules)
 
-BOOST_AUTO_TEST_CASE(seeds_that_failed_once) {
+BOOST_AUTO_TEST_CASE(regression_seeds) {
   for (const std::uint64_t seed : kRegressions) Play(seed);
 }
 
@@ -115,7 +115,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(seeds_that_failed_once_with_reused_ids) {
+BOOST_AUTO_TEST_CASE(regression_seeds_with_reused_ids) {
   for (const std::uint64_t seed : kReusedIdRegressions) {
     Play(seed, {.reused_worker_ids = true});
   }
@@ -128,13 +128,13 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(seeds_that_failed_once_with_crashing_tasks) {
+BOOST_AUTO_TEST_CASE(regression_seeds_with_crashing_tasks) {
   for (const std::uint64_t seed : kCrashRegressions) {
     Play(seed, {.crashing_tasks = true});
   }
 }
 
-BOOST_AUTO_TEST_CASE(seeds_that_failed_once_over_a_slow_store) {
+BOOST_AUTO_TEST_CASE(regression_seeds_over_a_slow_store) {
   for (const std::uint64_t seed : kSlowRegressions) Play(seed, kSlowStore);
 }
 
--- a/packages/jobs/tests/wait_report_test.cc
+++ b/packages/jobs/tests/wait_report_test.cc
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_SUITE(wait_report)
 
-BOOST_AUTO_TEST_CASE(the_reason_is_the_first_thing_that_lacks) {
+BOOST_AUTO_TEST_CASE(the_reason_is_the_first_unmet_requirement) {
   BOOST_TEST((WaitFacts{}.Reason() == WaitReason::kNoWorker));
   BOOST_TEST((MakeFacts(3, 0, 0).Reason() == WaitReason::kPermissions));
   BOOST_TEST((MakeFacts(4, 3, 3).Reason() == WaitReason::kRoom));
@@ -51,7 +51,7 @@
   BOOST_TEST((MakeFacts(4, 4, 4).Reason() == WaitReason::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(a_wait_ends_by_the_first_thing_that_helps) {
+BOOST_AUTO_TEST_CASE(the_first_event_that_unblocks_is_reported) {
   WaitFacts facts = MakeFacts(8, 2, 0);
   facts.permitted = 2;
   BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kNothing));
@@ -67,7 +67,7 @@
   BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kAnswer));
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_with_room_waits_only_for_others_that_took_theirs) {
+BOOST_AUTO_TEST_CASE(a_gang_with_capacity_waits_only_for_reservations) {
   WaitFacts facts = MakeFacts(8, 4, 0);
   facts.gang = true;
   BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kNothing));
@@ -77,7 +77,7 @@
 
 // A caller asks for a label that no worker has. Its job waits, and the log says
 // why, a line every two seconds.
-BOOST_AUTO_TEST_CASE(a_step_that_no_worker_can_run_is_told_of) {
+BOOST_AUTO_TEST_CASE(a_step_that_no_worker_can_run_is_reported) {
   const auto cell = SimCell::Builder().Build();
   JobSpec spec = MakeSpec({MakeStep(2, 1000, seconds(1))});
   spec.steps[0].required_label = "nobody-has-it";
@@ -88,7 +88,7 @@
   BOOST_TEST(CountReason(cell.get(), "no-worker") == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_room_is_told_of) {
+BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_capacity_is_reported) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   cell->Submit(MakeSpec({MakeStep(2, 16'000, seconds(8))}));
   cell->Time().RunFor(seconds(1));
