--- a/packages/core/include/mustardproxy/core/scheduler.h
+++ b/packages/core/include/mustardproxy/core/scheduler.h
@@ -26,7 +26,7 @@
   /// When it arrived here.
   Instant arrived;
   /// Given up on at this moment if still not placed.
-  Instant place_by;
+  Instant placement_deadline;
   /// Attempt number, from 1; part of the task ids.
   std::int32_t attempt = 1;
   /// Workers that must not get it, for example the one it just failed on.
@@ -80,7 +80,7 @@
 
   /// Queues a request, or says why not. Checks, in order: known service and
   /// team, fits an empty worker (or the gang the emptied workers), queue limit,
-  /// quota, and predicted wait against the profile and `place_by`.
+  /// quota, and predicted wait against the profile and `placement_deadline`.
   /// @param recovered work that was accepted before and may not be refused
   [[nodiscard]] Admission Enqueue(Instant now, const Ledger& ledger,
                                   QueuedRequest request,
@@ -99,12 +99,12 @@
   /// Each is named once.
   [[nodiscard]] std::vector<Preemption> ChooseVictims(Instant now,
                                                       const Ledger& ledger);
-  /// Requests whose `place_by` has passed; they are no longer queued.
+  /// Requests whose `placement_deadline` has passed; they are no longer queued.
   [[nodiscard]] std::vector<RequestId> Expire(Instant now);
 
   /// A placed task has ended or never started; frees it in `ledger` and learns
   /// its run time when `ran`.
-  void TaskDone(Instant now, Ledger* ledger, const TaskId& task, bool ran);
+  void OnTaskEnded(Instant now, Ledger* ledger, const TaskId& task, bool ran);
   /// Counts a task that was found running at a takeover against its team.
   void AdoptRunningTask(Instant now, const TaskId& task,
                         const RequestId& request, const ServiceId& service,
--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -57,8 +57,8 @@
   queued.service = work->request.service;
   queued.team = work->request.team;
   queued.arrived = work->accepted;
-  queued.place_by = work->accepted + kPlacementHorizon +
-                    (terms ? terms->max_wait : Duration{0});
+  queued.placement_deadline = work->accepted + kPlacementHorizon +
+                              (terms ? terms->max_wait : Duration{0});
   queued.attempt = work->last_attempt + 1;
   queued.avoid = work->avoid;
   const Admission admission = this->parts->scheduler.Enqueue(
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-Admission Placing::Enqueue(const ActiveRequest& entry, Instant place_by) {
+Admission Placing::Enqueue(const ActiveRequest& entry,
+                           Instant placement_deadline) {
   const Instant now = this->parts->context.now;
   if (this->parts->ledger.WorkerCount() == 0) {
     return {Error::kNoWorker, "this entry process owns no worker",
@@ -39,7 +40,7 @@
   queued.service = entry.request.service;
   queued.team = entry.request.team;
   queued.arrived = entry.arrived;
-  queued.place_by = place_by;
+  queued.placement_deadline = placement_deadline;
   queued.attempt = entry.last_attempt + 1;
   queued.avoid = entry.avoid;
   return this->parts->scheduler.Enqueue(now, this->parts->ledger,
@@ -91,7 +92,7 @@
 
 void Placing::ReleasePlacements(std::span<const Placement> placements) {
   for (const Placement& placement : placements) {
-    this->parts->scheduler.TaskDone(
+    this->parts->scheduler.OnTaskEnded(
         this->parts->context.now, &this->parts->ledger, placement.task, false);
   }
 }
--- a/packages/core/src/lifecycle/placing.h
+++ b/packages/core/src/lifecycle/placing.h
@@ -25,7 +25,8 @@
   /// Puts a request into the queue of this process.
   /// @return a refusal if no room is to be expected in time, or if this process
   ///   owns no worker
-  [[nodiscard]] Admission Enqueue(const ActiveRequest& entry, Instant place_by);
+  [[nodiscard]] Admission Enqueue(const ActiveRequest& entry,
+                                  Instant placement_deadline);
   /// Places what fits, within a bound on the time.
   void Run();
   /// Tells the flows what the scheduler has given up on.
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -151,7 +151,8 @@
   if (entry->runs > 0) {
     // The limit on waiting holds for each attempt that runs, the caller's
     // timeout for all of them.
-    entry->place_by = std::min(entry->deadline, now + entry->terms.max_wait);
+    entry->placement_deadline =
+        std::min(entry->deadline, now + entry->terms.max_wait);
   }
   const bool may = this->TimeLeft(*entry) && !entry->caller_gone &&
                    starts < kMaxStarts && this->MayRetry(*entry);
@@ -174,7 +175,7 @@
 }
 
 bool RequestFlow::TimeLeft(const ActiveRequest& entry) const {
-  return this->parts->context.now < entry.place_by;
+  return this->parts->context.now < entry.placement_deadline;
 }
 
 void RequestFlow::OnPreempted(const Preemption& preemption) {
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -41,7 +41,7 @@
   entry.terms = *TermsOf(context.configuration, request.service);
   entry.arrived = context.now;
   entry.deadline = context.now + request.timeout;
-  entry.place_by =
+  entry.placement_deadline =
       context.now + std::min(request.timeout, entry.terms.max_wait);
   entry.last_attempt = this->parts->ProcessNumber() * kAttemptsPerProcess;
   ActiveRequest* added = this->parts->table.Add(std::move(entry));
@@ -123,7 +123,8 @@
 }
 
 Admission RequestFlow::Queue(ActiveRequest* entry) {
-  Admission admission = this->parts->placing.Enqueue(*entry, entry->place_by);
+  Admission admission =
+      this->parts->placing.Enqueue(*entry, entry->placement_deadline);
   if (admission.refusal) {
     return admission;
   }
@@ -289,7 +290,7 @@
     queued.pop_front();
     ++looked;
     const bool half_waited =
-        now - entry->arrived > (entry->place_by - entry->arrived) / 2;
+        now - entry->arrived > (entry->placement_deadline - entry->arrived) / 2;
     const Reach reach = half_waited ? Reach::kAnywhere : Reach::kOwnDataCenter;
     if (!this->parts->forwarding.TryForward(entry, reach)) {
       queued.push_back(id);
--- a/packages/core/src/lifecycle/request_table.h
+++ b/packages/core/src/lifecycle/request_table.h
@@ -42,7 +42,7 @@
   /// When the caller stops waiting.
   Instant deadline;
   /// When waiting for room ends.
-  Instant place_by;
+  Instant placement_deadline;
   Instant queued_at;
   /// Attempts whose tasks may have run.
   std::int32_t runs = 0;
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -307,8 +307,8 @@
   this->updates.back().reason = reason;
   if (tracked.placed) {
     const bool ran = kind == TaskUpdate::Kind::kEnded;
-    this->parts->scheduler.TaskDone(this->parts->context.now,
-                                    &this->parts->ledger, id, ran);
+    this->parts->scheduler.OnTaskEnded(this->parts->context.now,
+                                       &this->parts->ledger, id, ran);
   } else {
     // Failure: the task was followed before its worker was taken over. The
     // ledger then counted it from the worker's report, and nobody gave its room
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -122,8 +122,8 @@
         report.running,
         [&](const RunningTask& task) { return task.task == entry.first; });
     if (!runs) {
-      this->parts->scheduler.TaskDone(this->parts->context.now,
-                                      &this->parts->ledger, entry.first, true);
+      this->parts->scheduler.OnTaskEnded(
+          this->parts->context.now, &this->parts->ledger, entry.first, true);
       this->parts->ledger.Release(report.worker, entry.first);
     }
     return !runs;
@@ -196,8 +196,8 @@
   const auto at = this->foreign_tasks.find(worker);
   if (at != this->foreign_tasks.end()) {
     for (const auto& [task, request] : at->second) {
-      this->parts->scheduler.TaskDone(this->parts->context.now,
-                                      &this->parts->ledger, task, false);
+      this->parts->scheduler.OnTaskEnded(this->parts->context.now,
+                                         &this->parts->ledger, task, false);
     }
     this->foreign_tasks.erase(at);
   }
--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -122,7 +122,7 @@
                     ServiceIndex service, TeamIndex team) {
   const ServiceEntry& entry = state.catalog.ServiceAt(service);
   const Duration allowed =
-      std::min(entry.profile.max_wait, request.place_by - now);
+      std::min(entry.profile.max_wait, request.placement_deadline - now);
   const Duration quota_wait = ForecastQuotaWait(state, service, team);
   const Duration room_wait = ForecastWait(now, state, ledger, service, team);
   const Duration wait = std::max(quota_wait, room_wait);
--- a/packages/core/src/scheduler/placement_pass.cc
+++ b/packages/core/src/scheduler/placement_pass.cc
@@ -148,17 +148,19 @@
     if (this->blocked_services.contains(known.service)) continue;
     const auto head = this->state->queue.Head(flow);
     if (!head) continue;
-    const Instant place_by = this->state->queue.At(*head).request.place_by;
-    if (first && place_by >= earliest) continue;
+    const Instant placement_deadline =
+        this->state->queue.At(*head).request.placement_deadline;
+    if (first && placement_deadline >= earliest) continue;
     first = flow;
-    earliest = place_by;
+    earliest = placement_deadline;
   }
   return first;
 }
 
 PlacementPass::PlaceResult PlacementPass::TryPlace(RequestSlot slot) {
   const QueueEntry& entry = this->state->queue.At(slot);
-  if (entry.request.place_by <= this->now) return PlaceResult::kRequestBlocked;
+  if (entry.request.placement_deadline <= this->now)
+    return PlaceResult::kRequestBlocked;
   const RequestQueue::FlowQueue& flow = this->state->queue.FlowAt(entry.flow);
   const ServiceEntry& service = this->state->catalog.ServiceAt(flow.service);
   const TeamEntry& team = this->state->catalog.TeamAt(flow.team);
--- a/packages/core/src/scheduler/placement_pass.h
+++ b/packages/core/src/scheduler/placement_pass.h
@@ -15,7 +15,7 @@
 
 /// One run of `Scheduler::Schedule`: places what can be placed, the most urgent
 /// priority first, within it the team that holds least, within that the
-/// earliest `place_by`.
+/// earliest `placement_deadline`.
 ///
 /// During a pass room only shrinks. So once a service's task fits nowhere, no
 /// other request for the service is tried, and a pass over a full cell costs
--- a/packages/core/src/scheduler/request_queue.cc
+++ b/packages/core/src/scheduler/request_queue.cc
@@ -10,7 +10,8 @@
 constexpr std::size_t kToleratedStaleNodes = 64;
 
 bool ComesLater(const QueueNode& a, const QueueNode& b) {
-  if (a.place_by != b.place_by) return a.place_by > b.place_by;
+  if (a.placement_deadline != b.placement_deadline)
+    return a.placement_deadline > b.placement_deadline;
   return a.sequence > b.sequence;
 }
 
@@ -104,7 +105,7 @@
 RequestSlot RequestQueue::Add(QueuedRequest request, FlowIndex flow,
                               double size) {
   const RequestSlot slot = this->AllocateSlot();
-  const QueueNode node{request.place_by, ++this->last_sequence, slot};
+  const QueueNode node{request.placement_deadline, ++this->last_sequence, slot};
   this->by_request.emplace(request.request, slot);
   this->entries[slot] = {std::move(request), flow, size, node.sequence};
   this->sequences[slot] = node.sequence;
@@ -150,14 +151,14 @@
 void RequestQueue::ReattachToFlow(RequestSlot slot) {
   const QueueEntry& entry = this->entries[slot];
   this->flows[entry.flow].heap.Push(
-      {entry.request.place_by, entry.sequence, slot});
+      {entry.request.placement_deadline, entry.sequence, slot});
 }
 
 std::optional<RequestSlot> RequestQueue::FirstExpired(Instant now) {
   this->deadlines.DropStaleTop(
       [this](const QueueNode& node) { return this->IsLive(node); });
   const QueueNode* top = this->deadlines.Top();
-  if (top == nullptr || top->place_by > now) return std::nullopt;
+  if (top == nullptr || top->placement_deadline > now) return std::nullopt;
   return top->slot;
 }
 
@@ -165,7 +166,7 @@
   if (this->by_request.empty() || this->deadlines.Top() == nullptr) {
     return std::nullopt;
   }
-  return this->deadlines.Top()->place_by;
+  return this->deadlines.Top()->placement_deadline;
 }
 
 const QueueEntry& RequestQueue::At(RequestSlot slot) const {
--- a/packages/core/src/scheduler/request_queue.h
+++ b/packages/core/src/scheduler/request_queue.h
@@ -29,14 +29,14 @@
 
 /// A place in a heap. Stale once the slot holds another sequence.
 struct QueueNode {
-  Instant place_by;
+  Instant placement_deadline;
   std::uint64_t sequence = 0;
   RequestSlot slot = 0;
 };
 
-/// Heap of waiting requests, the earliest `place_by` first, arrival breaking
-/// ties. Requests that have left stay as stale nodes until they come up, or
-/// until they outnumber the others and are swept out together.
+/// Heap of waiting requests, the earliest `placement_deadline` first, arrival
+/// breaking ties. Requests that have left stay as stale nodes until they come
+/// up, or until they outnumber the others and are swept out together.
 class DeadlineHeap {
  public:
   void Push(const QueueNode& node);
@@ -77,15 +77,16 @@
   /// @return the entry taken out, if the request was queued
   /// @complexity constant; heap nodes go stale
   std::optional<QueueEntry> Remove(const RequestId& request);
-  /// @return earliest `place_by` of a flow
+  /// @return earliest `placement_deadline` of a flow
   [[nodiscard]] std::optional<RequestSlot> Head(FlowIndex flow);
   /// Takes the head's node off the flow's heap for a while; `ReattachToFlow`
   /// returns it. The request stays queued.
   void DetachHead(FlowIndex flow);
   void ReattachToFlow(RequestSlot slot);
-  /// @return a request whose `place_by` has passed; it stays queued
+  /// @return a request whose `placement_deadline` has passed; it stays queued
   [[nodiscard]] std::optional<RequestSlot> FirstExpired(Instant now);
-  /// Earliest `place_by` of all; may name a request that has left since.
+  /// Earliest `placement_deadline` of all; may name a request that has left
+  /// since.
   [[nodiscard]] std::optional<Instant> NextDeadline() const;
   [[nodiscard]] const QueueEntry& At(RequestSlot slot) const;
   /// @return requests of a team for a service that wait
--- a/packages/core/src/scheduler/scheduler.cc
+++ b/packages/core/src/scheduler/scheduler.cc
@@ -77,8 +77,8 @@
   return expired;
 }
 
-void Scheduler::TaskDone(Instant now, Ledger* ledger, const TaskId& task,
-                         bool ran) {
+void Scheduler::OnTaskEnded(Instant now, Ledger* ledger, const TaskId& task,
+                            bool ran) {
   const auto entry = this->state->RemoveRunningTask(task, ledger);
   if (!entry) return;
   // A task stopped to make room says nothing of how long its kind runs.
--- a/packages/core/tests/scheduler_basic_test.cc
+++ b/packages/core/tests/scheduler_basic_test.cc
@@ -61,7 +61,7 @@
     queued.service = ServiceId(service);
     queued.team = TeamId(team);
     queued.arrived = kStart;
-    queued.place_by = kStart + std::chrono::seconds(10);
+    queued.placement_deadline = kStart + std::chrono::seconds(10);
     return this->scheduler.Enqueue(kStart, this->ledger, queued);
   }
 
@@ -83,7 +83,7 @@
   BOOST_TEST(placed[0].worker == WorkerId("w"));
   BOOST_TEST(this->Schedule().empty());
   BOOST_TEST(this->scheduler.RunningCount() == 1);
-  this->scheduler.TaskDone(kStart, &this->ledger, TaskId("q1/0/1"), true);
+  this->scheduler.OnTaskEnded(kStart, &this->ledger, TaskId("q1/0/1"), true);
   BOOST_TEST(this->scheduler.RunningCount() == 0);
   BOOST_TEST((this->ledger.TotalFree() == kCapacity));
 }
@@ -101,7 +101,7 @@
   }
   BOOST_TEST(!this->Enqueue("g", "match").refusal);
   BOOST_TEST(this->Schedule().size() == 5);
-  this->scheduler.TaskDone(kStart, &this->ledger, TaskId("s0/0/1"), true);
+  this->scheduler.OnTaskEnded(kStart, &this->ledger, TaskId("s0/0/1"), true);
   BOOST_TEST(this->Schedule().size() == 4);
 }
 
--- a/packages/core/tests/scheduler_queue_test.cc
+++ b/packages/core/tests/scheduler_queue_test.cc
@@ -122,7 +122,7 @@
   picky.request = RequestId("picky");
   picky.service = ServiceId("one");
   picky.team = TeamId("a");
-  picky.place_by = this->now + std::chrono::seconds(1);
+  picky.placement_deadline = this->now + std::chrono::seconds(1);
   picky.avoid = {WorkerId("w0")};
   BOOST_TEST(!this->scheduler.Enqueue(this->now, this->ledger, picky).refusal);
   (void)this->Enqueue("easy", "one");
--- a/packages/core/tests/scheduler_test_cell.h
+++ b/packages/core/tests/scheduler_test_cell.h
@@ -69,7 +69,7 @@
     queued.service = ServiceId(service);
     queued.team = TeamId(team);
     queued.arrived = this->now;
-    queued.place_by = this->now + patience;
+    queued.placement_deadline = this->now + patience;
     return this->scheduler.Enqueue(this->now, this->ledger, std::move(queued),
                                    recovered);
   }
@@ -86,7 +86,7 @@
   }
 
   void Done(const TaskId& task) {
-    this->scheduler.TaskDone(this->now, &this->ledger, task, true);
+    this->scheduler.OnTaskEnded(this->now, &this->ledger, task, true);
   }
 
   Configuration configuration;
--- a/testing/bench_decisions/cancellations.cc
+++ b/testing/bench_decisions/cancellations.cc
@@ -41,7 +41,7 @@
     request.service = ServiceId(service);
     request.team = TeamId("a");
     request.arrived = this->now;
-    request.place_by = this->now + std::chrono::minutes(10);
+    request.placement_deadline = this->now + std::chrono::minutes(10);
     (void)this->scheduler.Enqueue(this->now, this->ledger, request, true);
   }
 
@@ -60,8 +60,8 @@
 
   /// @return ns until an urgent request is placed once room is there
   double PlaceUrgent() {
-    this->scheduler.TaskDone(this->now, &this->ledger,
-                             this->running.back().task, true);
+    this->scheduler.OnTaskEnded(this->now, &this->ledger,
+                                this->running.back().task, true);
     this->running.pop_back();
     const auto begin = SteadyClock::now();
     this->Enqueue("urgent", ++this->urgent, "screen");
--- a/testing/bench_decisions/dispatcher.cc
+++ b/testing/bench_decisions/dispatcher.cc
@@ -28,8 +28,8 @@
 
 void ProductDispatcher::Done(Instant now, const Placement& placement,
                              bool ran) {
-  this->scheduler.TaskDone(now, this->ledger, placement.task,
-                           this->learns && ran);
+  this->scheduler.OnTaskEnded(now, this->ledger, placement.task,
+                              this->learns && ran);
 }
 
 void ProductDispatcher::Requeue(Instant now, const QueuedRequest& request) {
@@ -122,7 +122,8 @@
 
 std::vector<RequestId> FifoDispatcher::Expire(Instant now) {
   std::vector<RequestId> expired;
-  while (!this->queue.empty() && this->queue.front().place_by <= now) {
+  while (!this->queue.empty() &&
+         this->queue.front().placement_deadline <= now) {
     expired.push_back(this->queue.front().request);
     this->queue.pop_front();
   }
--- a/testing/bench_decisions/driver.cc
+++ b/testing/bench_decisions/driver.cc
@@ -167,7 +167,7 @@
   request.service = load.service;
   request.team = source.team;
   request.arrived = now;
-  request.place_by = now + profile.max_wait;
+  request.placement_deadline = now + profile.max_wait;
   const bool counted = now >= Instant(Duration(static_cast<Duration::rep>(
                                   this->plan.warm_up_seconds * 1e6)));
   if (!this->dispatcher->Enqueue(now, request)) {
@@ -304,8 +304,8 @@
   this->dispatcher->Done(now, task.placement, false);
   // Runs again from its beginning, with a new time to wait.
   Accepted& known = this->accepted.at(task.placement.request);
-  known.request.place_by =
-      now + (known.request.place_by - known.request.arrived);
+  known.request.placement_deadline =
+      now + (known.request.placement_deadline - known.request.arrived);
   ++known.request.attempt;
   this->dispatcher->Requeue(now, known.request);
 }
--- a/testing/bench_decisions/placement_cost.cc
+++ b/testing/bench_decisions/placement_cost.cc
@@ -171,13 +171,13 @@
     request.service = ServiceId("screen");
     request.team = TeamId(teams[i % 3]);
     request.arrived = now;
-    request.place_by = now + std::chrono::seconds(2);
+    request.placement_deadline = now + std::chrono::seconds(2);
     if (scheduler.Enqueue(now, ledger, std::move(request)).refusal) continue;
     for (Placement& placement : scheduler.Schedule(now, &ledger, 100)) {
       running.push_back(std::move(placement.task));
     }
     if (running.size() - oldest >= wanted) {
-      scheduler.TaskDone(now, &ledger, running[oldest++], true);
+      scheduler.OnTaskEnded(now, &ledger, running[oldest++], true);
     }
   }
   const std::chrono::duration<double, std::nano> passed =
