--- a/packages/core/tests/ledger_basic_test.cc
+++ b/packages/core/tests/ledger_basic_test.cc
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(ledger_basic)
 
-BOOST_AUTO_TEST_CASE(a_worker_opens_with_what_it_already_runs) {
+BOOST_AUTO_TEST_CASE(an_added_worker_counts_its_running_tasks) {
   Ledger ledger;
   ledger.AddWorker(Worker("w"), Report("w", {Run("a"), Run("b")}));
   BOOST_TEST((ledger.FreeOn(WorkerId("w")) == kCapacity - kTask - kTask));
@@ -66,7 +66,7 @@
   BOOST_TEST((ledger.FreeOn(WorkerId("w")) == kCapacity - kTask));
 }
 
-BOOST_AUTO_TEST_CASE(a_worker_that_is_not_placeable_gets_nothing_new) {
+BOOST_AUTO_TEST_CASE(an_unplaceable_worker_gets_no_new_tasks) {
   Ledger ledger;
   ledger.AddWorker(Worker("w"), Report("w"));
   ledger.SetPlaceable(WorkerId("w"), false);
@@ -101,7 +101,7 @@
   BOOST_TEST(ledger.FindGang(kTask, 24, Packing::kBestFit, {}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(closing_a_worker_forgets_it) {
+BOOST_AUTO_TEST_CASE(a_removed_worker_is_forgotten) {
   Ledger ledger;
   ledger.AddWorker(Worker("w"), Report("w", {Run("a")}));
   ledger.RemoveWorker(WorkerId("w"));
--- a/packages/core/tests/ledger_gang_test.cc
+++ b/packages/core/tests/ledger_gang_test.cc
@@ -35,7 +35,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ledger_gang, TwoRacks)
 
-BOOST_AUTO_TEST_CASE(best_fit_takes_the_rack_with_least_room_to_spare) {
+BOOST_AUTO_TEST_CASE(best_fit_uses_the_rack_with_least_free_capacity) {
   this->Use("b1", 4);
   const auto gang = this->ledger.FindGang(kTask, 10, Packing::kBestFit, {});
   BOOST_REQUIRE(gang.size() == 10);
@@ -48,7 +48,7 @@
   BOOST_TEST(std::set<WorkerId>(gang.begin(), gang.end()).size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(held_room_is_seen_only_by_who_may_use_it) {
+BOOST_AUTO_TEST_CASE(held_capacity_is_found_only_when_holds_are_ignored) {
   for (const char* id : {"a1", "a2", "b1"}) {
     this->ledger.Hold(WorkerId(id), kCapacity);
   }
@@ -67,7 +67,7 @@
              2);
 }
 
-BOOST_AUTO_TEST_CASE(a_plan_names_the_earliest_moment_with_room) {
+BOOST_AUTO_TEST_CASE(a_plan_gives_the_earliest_time_with_capacity) {
   for (const char* id : {"a1", "a2", "b1", "b2"}) this->Use(id, 8);
   const auto at = [](int seconds) {
     return kNow + std::chrono::seconds(seconds);
@@ -86,7 +86,7 @@
            .has_value());
 }
 
-BOOST_AUTO_TEST_CASE(tracked_room_follows_every_change) {
+BOOST_AUTO_TEST_CASE(the_tracked_fit_count_follows_every_change) {
   this->ledger.TrackFitCount(kTask);
   BOOST_TEST(this->ledger.TrackedFitCount() == 32);
   this->Use("a1", 3);
--- a/packages/core/tests/ledger_random_test.cc
+++ b/packages/core/tests/ledger_random_test.cc
@@ -43,11 +43,12 @@
   }
 };
 
-class Walk {
+class RandomOperations {
  public:
-  Walk(std::uint64_t seed, int workers) : random(seed), workers(workers) {
+  RandomOperations(std::uint64_t seed, int workers)
+      : random(seed), workers(workers) {
     for (int i = 0; i < workers; ++i) {
-      this->Open(WorkerId(std::string("w").append(std::to_string(i))));
+      this->AddWorker(WorkerId(std::string("w").append(std::to_string(i))));
     }
   }
 
@@ -56,9 +57,9 @@
     if (kind < 55) this->Place();
     if (kind >= 55 && kind < 95) this->End();
     if (kind >= 95 && kind < 97) this->TogglePlaceable();
-    if (kind >= 97) this->Open(this->AnyWorker());
-    if (kind < 2) this->CloseSome();
-    if (kind == 2) this->OpenClosed();
+    if (kind >= 97) this->AddWorker(this->AnyWorker());
+    if (kind < 2) this->RemoveAnyWorker();
+    if (kind == 2) this->AddRemovedWorkers();
     BOOST_REQUIRE(this->ledger.TotalFree() == this->model.TotalFree());
   }
 
@@ -70,7 +71,7 @@
     return WorkerId(std::string("w").append(
         std::to_string(this->Draw(0, this->workers - 1))));
   }
-  void Open(const WorkerId& id) {
+  void AddWorker(const WorkerId& id) {
     WorkerDescription worker;
     worker.id = id;
     WorkerReport report;
@@ -78,20 +79,20 @@
     report.capacity = kCapacity;
     this->ledger.AddWorker(worker, report);
     this->model.workers[id] = {};
-    this->closed.erase(id);
+    this->removed.erase(id);
   }
-  void CloseSome() {
-    if (this->closed.size() >= kMostClosed) return;
+  void RemoveAnyWorker() {
+    if (this->removed.size() >= kMaxRemoved) return;
     const WorkerId worker = this->AnyWorker();
     this->ledger.RemoveWorker(worker);
     this->model.workers.erase(worker);
-    this->closed.insert(worker);
+    this->removed.insert(worker);
   }
   /// All at once, so that the workers' number falls and rises far.
-  void OpenClosed() {
-    if (this->closed.size() < kMostClosed) return;
-    for (const WorkerId& worker : std::set<WorkerId>(this->closed)) {
-      this->Open(worker);
+  void AddRemovedWorkers() {
+    if (this->removed.size() < kMaxRemoved) return;
+    for (const WorkerId& worker : std::set<WorkerId>(this->removed)) {
+      this->AddWorker(worker);
     }
   }
   void Place() {
@@ -109,7 +110,7 @@
   }
   void End() {
     const WorkerId worker = this->AnyWorker();
-    if (this->closed.contains(worker)) return;
+    if (this->removed.contains(worker)) return;
     Model::Entry& entry = this->model.workers[worker];
     if (entry.tasks.empty()) return;
     const auto ended = entry.tasks.begin();
@@ -119,17 +120,17 @@
   }
   void TogglePlaceable() {
     const WorkerId worker = this->AnyWorker();
-    if (this->closed.contains(worker)) return;
+    if (this->removed.contains(worker)) return;
     Model::Entry& entry = this->model.workers[worker];
     entry.placeable = !entry.placeable;
     this->ledger.SetPlaceable(worker, entry.placeable);
   }
 
-  static constexpr std::size_t kMostClosed = 60;
+  static constexpr std::size_t kMaxRemoved = 60;
 
   std::mt19937_64 random;
   int workers;
-  std::set<WorkerId> closed;
+  std::set<WorkerId> removed;
   Ledger ledger;
   Model model;
   int number = 0;
@@ -144,8 +145,8 @@
   constexpr std::uint64_t kSeed = 20260101;
   BOOST_TEST_MESSAGE("seed " << kSeed);
   for (const int workers : {kFewWorkers, kManyWorkers}) {
-    Walk walk(kSeed, workers);
-    for (int i = 0; i < kSteps; ++i) walk.Step();
+    RandomOperations operations(kSeed, workers);
+    for (int i = 0; i < kSteps; ++i) operations.Step();
   }
 }
 
--- a/packages/core/tests/scheduler_admission_test.cc
+++ b/packages/core/tests/scheduler_admission_test.cc
@@ -26,7 +26,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_admission, Cell)
 
-BOOST_AUTO_TEST_CASE(what_never_fits_is_refused_and_named) {
+BOOST_AUTO_TEST_CASE(requests_that_never_fit_are_refused_with_the_resource) {
   const Admission wide = this->Enqueue("q", "wide");
   BOOST_TEST(wide.refusal == Error::kNeverFits);
   BOOST_TEST(wide.detail ==
@@ -37,7 +37,7 @@
   BOOST_TEST(gang.detail.find("17 tasks") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_quota_that_can_never_be_met_is_refused) {
+BOOST_AUTO_TEST_CASE(a_request_larger_than_its_quota_is_refused) {
   this->AddService("five", "work", kSmallTask, 5);
   this->Configure();
   const Admission refused = this->Enqueue("q", "five", "b");
@@ -46,13 +46,13 @@
              "the request needs 5 slots; the quota of team b is 4");
 }
 
-BOOST_AUTO_TEST_CASE(without_a_worker_it_says_so) {
+BOOST_AUTO_TEST_CASE(a_process_without_workers_refuses_requests) {
   this->ledger.RemoveWorker(WorkerId("w0"));
   this->ledger.RemoveWorker(WorkerId("w1"));
   BOOST_TEST(this->Enqueue("q", "task").refusal == Error::kNoWorker);
 }
 
-BOOST_AUTO_TEST_CASE(strangers_and_unknown_services_are_refused) {
+BOOST_AUTO_TEST_CASE(unknown_teams_and_services_are_refused) {
   BOOST_TEST(this->Enqueue("q", "none").refusal == Error::kUnknownService);
   BOOST_TEST(this->Enqueue("q", "task", "x").refusal == Error::kUnknownTeam);
 }
@@ -82,7 +82,7 @@
   // Tasks were declared to take 1 s and take 100 ms.
   for (int round = 0; round < 4; ++round) {
     this->now += std::chrono::milliseconds(100);
-    for (const Placement& placed : running) this->Done(placed.task);
+    for (const Placement& placed : running) this->EndTask(placed.task);
     running = this->Schedule();
   }
   const Duration wait =
--- a/packages/core/tests/scheduler_basic_test.cc
+++ b/packages/core/tests/scheduler_basic_test.cc
@@ -88,14 +88,14 @@
   BOOST_TEST((this->ledger.TotalFree() == kCapacity));
 }
 
-BOOST_AUTO_TEST_CASE(the_impossible_is_refused_on_arrival) {
+BOOST_AUTO_TEST_CASE(impossible_requests_are_refused_on_arrival) {
   BOOST_TEST(this->Enqueue("q1", "none").refusal == Error::kUnknownService);
   BOOST_TEST(this->Enqueue("q2", "screen", "b").refusal == Error::kUnknownTeam);
   BOOST_TEST(this->Enqueue("q3", "huge").refusal == Error::kNeverFits);
   BOOST_TEST(this->scheduler.QueuedCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_is_placed_whole_or_not_at_all) {
+BOOST_AUTO_TEST_CASE(a_gang_is_placed_completely_or_not_at_all) {
   for (int i = 0; i < 5; ++i) {
     BOOST_TEST(!this->Enqueue(Numbered("s", i), "screen").refusal);
   }
@@ -112,7 +112,7 @@
   BOOST_TEST(this->Schedule().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_past_its_time_is_handed_back) {
+BOOST_AUTO_TEST_CASE(a_request_past_its_deadline_expires) {
   BOOST_TEST(!this->Enqueue("q", "screen").refusal);
   BOOST_TEST(
       (this->scheduler.NextWakeup() == kStart + std::chrono::seconds(10)));
@@ -122,7 +122,7 @@
   BOOST_TEST(this->scheduler.QueuedCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(urgent_work_names_victims_once) {
+BOOST_AUTO_TEST_CASE(an_urgent_request_selects_one_victim) {
   for (int i = 0; i < 8; ++i) {
     BOOST_TEST(!this->Enqueue(Numbered("b", i), "rota").refusal);
   }
--- a/packages/core/tests/scheduler_fair_share_test.cc
+++ b/packages/core/tests/scheduler_fair_share_test.cc
@@ -37,7 +37,7 @@
   this->EnqueueMany("a", 500, "task", "a");
   BOOST_TEST(this->Schedule().size() == 32);
   BOOST_TEST(!this->Enqueue("b0", "task", "b").refusal);
-  this->Done(TaskId("a0/0/1"));
+  this->EndTask(TaskId("a0/0/1"));
   const auto placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
   BOOST_TEST(placed[0].request == RequestId("b0"));
@@ -67,7 +67,7 @@
   auto counts = this->CountByTeam(this->Schedule());
   BOOST_TEST(counts['a'] == 5);
   BOOST_TEST(counts['b'] == 3);
-  this->Done(TaskId("a0/0/1"));
+  this->EndTask(TaskId("a0/0/1"));
   BOOST_TEST(this->CountByTeam(this->Schedule())['a'] == 1);
 }
 
@@ -79,7 +79,7 @@
       TeamId("a"), WorkerId("w0"), std::chrono::seconds(1));
   BOOST_TEST(!this->Enqueue("a0", "task", "a").refusal);
   BOOST_TEST(this->Schedule().empty());
-  this->Done(TaskId("old/0/1"));
+  this->EndTask(TaskId("old/0/1"));
   BOOST_TEST(this->Schedule().size() == 1);
 }
 
--- a/packages/core/tests/scheduler_gang_test.cc
+++ b/packages/core/tests/scheduler_gang_test.cc
@@ -40,7 +40,7 @@
   std::map<int, TaskId> ends;
   for (int i = 0; i < 80; ++i) {
     this->now += std::chrono::seconds(1);
-    if (ends.contains(i)) this->Done(ends[i]);
+    if (ends.contains(i)) this->EndTask(ends[i]);
     (void)this->Enqueue(Numbered("s", i), "small");
     if (i == kGangArrives) (void)this->Enqueue("gang", "gang");
     for (const Placement& placed : this->Schedule()) {
@@ -68,7 +68,7 @@
   BOOST_TEST(this->Schedule().size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_cancelled_gang_gives_its_room_back) {
+BOOST_AUTO_TEST_CASE(a_cancelled_gang_releases_its_reservation) {
   this->EnqueueMany("s", 12, "small");
   (void)this->Schedule();
   (void)this->Enqueue("gang", "gang");
@@ -86,8 +86,8 @@
   for (int i = 0; i < 200 && !started; ++i) {
     this->now += std::chrono::milliseconds(500);
     (void)this->Enqueue(Numbered("t", i), "small");
-    this->Done(TaskId(i < 16 ? Numbered("s", i) + "/0/1"
-                             : Numbered("t", i - 16) + "/0/1"));
+    this->EndTask(TaskId(i < 16 ? Numbered("s", i) + "/0/1"
+                                : Numbered("t", i - 16) + "/0/1"));
     for (const Placement& placed : this->Schedule()) {
       started = started || placed.request == RequestId("whole");
     }
@@ -95,7 +95,7 @@
   BOOST_TEST(started);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_larger_than_the_limit_is_still_placed_whole) {
+BOOST_AUTO_TEST_CASE(a_gang_larger_than_the_limit_is_placed_completely) {
   (void)this->Enqueue("gang", "gang");
   BOOST_TEST(this->Schedule(4).size() == 12);
 }
--- a/packages/core/tests/scheduler_guarantee_test.cc
+++ b/packages/core/tests/scheduler_guarantee_test.cc
@@ -48,15 +48,15 @@
   BOOST_TEST(this->CountOf(placed, "d") == 5);
 }
 
-BOOST_AUTO_TEST_CASE(above_its_share_the_lower_priority_yields) {
+BOOST_AUTO_TEST_CASE(above_its_share_a_lower_priority_gets_no_preference) {
   this->EnqueueMany("s", 500, "review");
   this->EnqueueMany("d", 100, "rota");
   (void)this->Schedule();
-  this->Done(TaskId("s0/0/1"));
+  this->EndTask(TaskId("s0/0/1"));
   auto placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
   BOOST_TEST(this->CountOf(placed, "s") == 1);
-  this->Done(TaskId("d0/0/1"));
+  this->EndTask(TaskId("d0/0/1"));
   placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
   BOOST_TEST(this->CountOf(placed, "d") == 1);
@@ -70,7 +70,7 @@
   BOOST_TEST(this->CountOf(placed, "u") == 32);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_rival_no_share_is_kept_back) {
+BOOST_AUTO_TEST_CASE(an_idle_priority_reserves_no_share) {
   this->EnqueueMany("s", 100, "review");
   BOOST_TEST(this->Schedule().size() == 32);
 }
@@ -80,7 +80,8 @@
 // request before room for four has come together. The cause would be that
 // standard work outranks the reservation although the gang's priority has less
 // than its share.
-BOOST_AUTO_TEST_CASE(a_gang_below_its_share_gathers_room_from_standard_work) {
+BOOST_AUTO_TEST_CASE(
+    a_gang_below_its_share_reserves_capacity_against_standard_work) {
   this->EnqueueMany("s", 500, "review");
   std::deque<TaskId> running;
   for (const Placement& placed : this->Schedule()) {
@@ -90,7 +91,7 @@
   bool started = false;
   for (int i = 0; i < 20 && !started; ++i) {
     this->now += std::chrono::seconds(1);
-    this->Done(running.front());
+    this->EndTask(running.front());
     running.pop_front();
     const auto placed = this->Schedule();
     started = this->CountOf(placed, "gang") == 4;
--- a/packages/core/tests/scheduler_queue_test.cc
+++ b/packages/core/tests/scheduler_queue_test.cc
@@ -41,7 +41,7 @@
 // They give up in the order of their deadlines, so every node at the top of the
 // queue is stale. The cause is taking off each by itself; taking out all of
 // them at once must keep the order and the deadlines of the rest.
-BOOST_AUTO_TEST_CASE(a_wave_in_deadline_order_leaves_the_rest_in_order) {
+BOOST_AUTO_TEST_CASE(many_cancellations_in_deadline_order_keep_the_order) {
   for (int i = 0; i < 1000; ++i) {
     (void)this->Enqueue(Numbered("q", i), "one", "a",
                         std::chrono::seconds(10 + i), true);
@@ -61,7 +61,7 @@
   BOOST_TEST(expired.back() == RequestId("q419"));
 }
 
-BOOST_AUTO_TEST_CASE(a_cancelled_slot_may_be_used_again) {
+BOOST_AUTO_TEST_CASE(a_cancelled_slot_can_be_reused) {
   (void)this->Enqueue("q", "one");
   BOOST_TEST(this->scheduler.Cancel(RequestId("q")));
   (void)this->Enqueue("r", "two");
@@ -77,7 +77,7 @@
   BOOST_TEST(this->Schedule().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(expired_requests_are_handed_back_and_never_placed) {
+BOOST_AUTO_TEST_CASE(expired_requests_are_returned_and_never_placed) {
   (void)this->Enqueue("soon", "one", "a", std::chrono::seconds(1));
   (void)this->Enqueue("late", "one", "a", std::chrono::seconds(9));
   this->now += std::chrono::seconds(1);
@@ -90,7 +90,7 @@
   BOOST_TEST(this->scheduler.QueuedCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_is_bounded_and_asks_to_be_called_again) {
+BOOST_AUTO_TEST_CASE(a_limited_pass_requests_another_wakeup) {
   this->EnqueueMany("q", 8, "one");
   BOOST_TEST(this->Schedule(3).size() == 3);
   BOOST_REQUIRE(this->scheduler.NextWakeup().has_value());
@@ -118,18 +118,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_avoided_worker_does_not_block_others) {
-  QueuedRequest picky;
-  picky.request = RequestId("picky");
-  picky.service = ServiceId("one");
-  picky.team = TeamId("a");
-  picky.placement_deadline = this->now + std::chrono::seconds(1);
-  picky.avoid = {WorkerId("w0")};
-  BOOST_TEST(!this->scheduler.Enqueue(this->now, this->ledger, picky).refusal);
-  (void)this->Enqueue("easy", "one");
+  QueuedRequest restricted;
+  restricted.request = RequestId("restricted");
+  restricted.service = ServiceId("one");
+  restricted.team = TeamId("a");
+  restricted.placement_deadline = this->now + std::chrono::seconds(1);
+  restricted.avoid = {WorkerId("w0")};
+  BOOST_TEST(
+      !this->scheduler.Enqueue(this->now, this->ledger, restricted).refusal);
+  (void)this->Enqueue("unrestricted", "one");
   const auto placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
-  BOOST_TEST(placed[0].request == RequestId("easy"));
-  this->OpenWorker("w1");
+  BOOST_TEST(placed[0].request == RequestId("unrestricted"));
+  this->AddWorker("w1");
   const auto later = this->Schedule();
   BOOST_REQUIRE(later.size() == 1);
   BOOST_TEST(later[0].worker == WorkerId("w1"));
--- a/packages/core/tests/scheduler_random_test.cc
+++ b/packages/core/tests/scheduler_random_test.cc
@@ -19,8 +19,8 @@
 
 /// Random requests, ends, cancellations, stops and changes of workers, with the
 /// promises checked after each step.
-struct Walk : TestCell {
-  explicit Walk(std::uint64_t seed) : TestCell(6), random(seed) {
+struct RandomWorkload : TestCell {
+  explicit RandomWorkload(std::uint64_t seed) : TestCell(6), random(seed) {
     this->AddProfile("urgent", 0);
     this->AddProfile("standard", 1);
     this->AddProfile("deferred", 2).preemptible = true;
@@ -64,11 +64,11 @@
     const auto ended =
         this->running.begin() +
         this->Draw(0, static_cast<int>(this->running.size()) - 1);
-    this->Done(ended->task);
+    this->EndTask(ended->task);
     this->running.erase(ended);
   }
 
-  void StopVictims() {
+  void PreemptVictims() {
     for (const Preemption& victim :
          this->scheduler.ChooseVictims(this->now, this->ledger)) {
       BOOST_REQUIRE(this->victims.insert(victim.task).second);
@@ -95,7 +95,7 @@
       const RequestId request(Numbered("q", this->Draw(1, this->requests + 1)));
       if (this->scheduler.Cancel(request)) this->cancelled.insert(request);
     }
-    if (kind >= 90 && kind < 94) this->StopVictims();
+    if (kind >= 90 && kind < 94) this->PreemptVictims();
     if (kind >= 94) {
       this->ledger.SetPlaceable(WorkerId(Numbered("w", this->Draw(0, 5))),
                                 this->Draw(0, 2) > 0);
@@ -119,22 +119,23 @@
 
 BOOST_AUTO_TEST_SUITE(scheduler_random)
 
-BOOST_AUTO_TEST_CASE(promises_hold_after_every_step) {
+BOOST_AUTO_TEST_CASE(invariants_hold_after_every_step) {
   for (const std::uint64_t seed : {1, 2, 3}) {
     BOOST_TEST_MESSAGE("seed " << seed);
-    Walk walk(seed);
-    for (int i = 0; i < kSteps; ++i) walk.Step();
-    BOOST_TEST(walk.placed.size() > 1000);
+    RandomWorkload workload(seed);
+    for (int i = 0; i < kSteps; ++i) workload.Step();
+    BOOST_TEST(workload.placed.size() > 1000);
     // Everything that runs ends, and what is queued is given up: nothing may be
     // left counted.
-    while (!walk.running.empty()) walk.EndOne();
-    walk.now += std::chrono::minutes(2);
-    (void)walk.scheduler.Expire(walk.now);
+    while (!workload.running.empty()) workload.EndOne();
+    workload.now += std::chrono::minutes(2);
+    (void)workload.scheduler.Expire(workload.now);
     for (int i = 0; i < 6; ++i) {
-      walk.ledger.SetPlaceable(WorkerId(Numbered("w", i)), true);
+      workload.ledger.SetPlaceable(WorkerId(Numbered("w", i)), true);
     }
-    BOOST_TEST(walk.scheduler.QueuedCount() == 0);
-    BOOST_TEST((walk.ledger.TotalFree() == walk.ledger.TotalCapacity()));
+    BOOST_TEST(workload.scheduler.QueuedCount() == 0);
+    BOOST_TEST(
+        (workload.ledger.TotalFree() == workload.ledger.TotalCapacity()));
   }
 }
 
--- a/packages/core/tests/scheduler_test_cell.h
+++ b/packages/core/tests/scheduler_test_cell.h
@@ -19,10 +19,10 @@
 class TestCell {
  public:
   explicit TestCell(int workers) {
-    for (int i = 0; i < workers; ++i) this->OpenWorker(Numbered("w", i));
+    for (int i = 0; i < workers; ++i) this->AddWorker(Numbered("w", i));
   }
 
-  void OpenWorker(const std::string& id) {
+  void AddWorker(const std::string& id) {
     WorkerDescription worker;
     worker.id = WorkerId(id);
     worker.rack = RackId("r");
@@ -62,14 +62,14 @@
 
   Admission Enqueue(const std::string& request, const char* service,
                     const char* team = "a",
-                    Duration patience = std::chrono::minutes(10),
+                    Duration place_within = std::chrono::minutes(10),
                     bool recovered = false) {
     QueuedRequest queued;
     queued.request = RequestId(request);
     queued.service = ServiceId(service);
     queued.team = TeamId(team);
     queued.arrived = this->now;
-    queued.placement_deadline = this->now + patience;
+    queued.placement_deadline = this->now + place_within;
     return this->scheduler.Enqueue(this->now, this->ledger, std::move(queued),
                                    recovered);
   }
@@ -85,7 +85,7 @@
     return this->scheduler.Schedule(this->now, &this->ledger, limit);
   }
 
-  void Done(const TaskId& task) {
+  void EndTask(const TaskId& task) {
     this->scheduler.OnTaskEnded(this->now, &this->ledger, task, true);
   }
 
--- a/packages/core/tests/scheduler_urgent_test.cc
+++ b/packages/core/tests/scheduler_urgent_test.cc
@@ -30,10 +30,10 @@
       this->now += std::chrono::milliseconds(250);
       (void)this->Enqueue(Numbered("u", i), "screen");
       (void)this->Schedule();
-      if (i >= 4) this->Done(TaskId(Numbered("u", i - 4) + "/0/1"));
+      if (i >= 4) this->EndTask(TaskId(Numbered("u", i - 4) + "/0/1"));
     }
     for (int i = 116; i < 120; ++i) {
-      this->Done(TaskId(Numbered("u", i) + "/0/1"));
+      this->EndTask(TaskId(Numbered("u", i) + "/0/1"));
     }
   }
 };
@@ -43,7 +43,7 @@
 // An applicant at the desk waits for minutes: deferred tasks of five minutes
 // have taken every slot in a quiet second. Urgent requests came steadily
 // before, and come again. The cause would be that nothing is kept free.
-BOOST_AUTO_TEST_CASE(deferred_work_leaves_room_for_what_usually_arrives) {
+BOOST_AUTO_TEST_CASE(deferred_work_leaves_headroom_for_urgent_arrivals) {
   this->RunUrgent();
   this->EnqueueMany("r", 100, "rota");
   const std::size_t placed = this->Schedule().size();
@@ -53,7 +53,7 @@
   BOOST_TEST(this->Schedule().size() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(headroom_fades_when_urgent_work_stops) {
+BOOST_AUTO_TEST_CASE(headroom_shrinks_when_urgent_work_stops) {
   this->RunUrgent();
   this->EnqueueMany("r", 100, "rota");
   std::size_t placed = this->Schedule().size();
@@ -69,7 +69,7 @@
   BOOST_TEST(this->Schedule().size() == 32);
 }
 
-BOOST_AUTO_TEST_CASE(victims_are_named_once_and_only_as_many_as_needed) {
+BOOST_AUTO_TEST_CASE(victims_are_selected_once_and_only_as_many_as_needed) {
   this->EnqueueMany("r", 32, "rota");
   (void)this->Schedule();
   (void)this->Enqueue("u0", "screen");
@@ -78,7 +78,7 @@
   const auto victims = this->scheduler.ChooseVictims(this->now, this->ledger);
   BOOST_TEST(victims.size() == 2);
   BOOST_TEST(this->scheduler.ChooseVictims(this->now, this->ledger).empty());
-  for (const Preemption& victim : victims) this->Done(victim.task);
+  for (const Preemption& victim : victims) this->EndTask(victim.task);
   BOOST_TEST(this->Schedule().size() == 2);
   BOOST_TEST(this->scheduler.ChooseVictims(this->now, this->ledger).empty());
 }
@@ -94,7 +94,7 @@
   BOOST_TEST(workers.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_is_stopped_whole) {
+BOOST_AUTO_TEST_CASE(a_gang_is_preempted_as_a_whole) {
   this->EnqueueMany("g", 8, "gang");
   BOOST_TEST(this->Schedule().size() == 32);
   (void)this->Enqueue("u", "screen");
@@ -105,7 +105,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_stopped_while_there_is_room) {
+BOOST_AUTO_TEST_CASE(nothing_is_preempted_while_capacity_is_free) {
   this->EnqueueMany("r", 31, "rota");
   (void)this->Schedule();
   (void)this->Enqueue("u", "screen");
