--- a/packages/core/include/mustardproxy/core/gang_search.h
+++ b/packages/core/include/mustardproxy/core/gang_search.h
@@ -9,19 +9,19 @@
 
 namespace mustardproxy {
 
-/// A worker that may take part of a gang.
+/// A worker that may run tasks of a gang.
 struct GangCandidate {
-  /// Position in a table of the searcher's.
+  /// Index of the worker in a table of the caller.
   std::uint32_t worker = 0;
   std::uint32_t rack = 0;
-  /// Tasks of the gang that fit there.
+  /// Number of tasks of the gang that fit on the worker.
   std::int64_t fitting_tasks = 0;
 };
 
-/// Places `tasks` tasks on candidates: within one rack if any can hold them
-/// all, else over as few racks as possible.
+/// Assigns `tasks` tasks to candidates: all within one rack if a rack can hold
+/// them, otherwise over racks in descending order of fitting tasks.
 /// @param candidates grouped by rack
-/// @return one worker per task, or empty
+/// @return one worker per task, or empty if the tasks do not fit
 [[nodiscard]] std::vector<std::uint32_t> PlaceGang(
     std::span<const GangCandidate> candidates, std::int64_t tasks,
     Packing packing);
--- a/packages/core/include/mustardproxy/core/ledger.h
+++ b/packages/core/include/mustardproxy/core/ledger.h
@@ -15,29 +15,29 @@
 
 namespace mustardproxy {
 
-/// Whether room that is held back for a gang may be used.
+/// Whether a search may use capacity that is held for a gang.
 enum class HoldPolicy { kRespect, kIgnore };
 
-/// A task's resources that are expected to become free.
+/// Resources of a task that are expected to be released.
 struct ExpectedRelease {
   Instant at;
   WorkerId worker;
   Resources resources;
 };
 
-/// Where a gang is expected to fit, and when.
+/// Expected start time and workers of a gang.
 struct GangPlan {
   Instant at;
   /// One worker per task.
   std::vector<WorkerId> workers;
 };
 
-/// What one process knows of the capacity of the workers it owns: the one place
-/// where capacity is counted, so that no worker is overcommitted. Rebuilt from
-/// the worker's own answer at each attach.
+/// Capacity of the workers that one process owns. Capacity is accounted for
+/// only here, so that no worker is overcommitted. The entry of a worker is
+/// rebuilt from the worker's report at each attach.
 ///
-/// Placement looks workers up through an index over free resources, so that a
-/// decision costs far less than a scan of all workers.
+/// Searches use an index over free resources, so that a placement decision
+/// costs far less than a scan of all workers.
 class Ledger {
  public:
   Ledger();
@@ -45,77 +45,81 @@
   Ledger(Ledger&&) noexcept;
   Ledger& operator=(Ledger&&) noexcept;
 
-  /// Counts a worker from now on, with what it already runs.
-  /// Replaces what was known of it.
+  /// Adds a worker with the tasks that it reports as running. Replaces an
+  /// existing entry of the same worker.
   void AddWorker(const WorkerDescription& worker, const WorkerReport& report);
-  /// Forgets a worker and all that was reserved on it.
+  /// Removes a worker together with its reservations.
   void RemoveWorker(const WorkerId& worker);
-  /// Tasks already there go on; new ones are placed only if `placeable`.
-  /// `share` in 0..1 caps the slots handed out while a worker returns from
-  /// ejection.
+  /// Sets whether new tasks may be placed on a worker. Running tasks are not
+  /// affected.
+  /// @param share fraction of the slots that may be used, in 0..1; limits a
+  ///   worker that returns from ejection
   void SetPlaceable(const WorkerId& worker, bool placeable, double share = 1.0);
 
-  /// Takes resources for a task.
-  /// @return false, with nothing taken, if they do not fit there now
+  /// Reserves resources for a task.
+  /// @return false, with nothing reserved, if the resources do not fit there
+  ///   now
   [[nodiscard]] bool Reserve(const WorkerId& worker, const TaskId& task,
                              const Resources& resources);
-  /// Gives a task's resources back; unknown tasks are ignored.
+  /// Releases the resources of a task. Unknown tasks are ignored.
   void Release(const WorkerId& worker, const TaskId& task);
-  /// Brings reservations in line with what the worker says it runs: adds tasks
-  /// found there. Never drops a reservation, since a start may be on its way.
+  /// Adds the tasks that the worker reports as running. Never removes a
+  /// reservation, since the start of its task may still be in flight.
   void Reconcile(const WorkerId& worker, std::span<const RunningTask> running);
 
-  /// Finds a worker for one task without reserving it.
+  /// Finds a worker for one task without reserving its resources.
   /// @param avoid workers that must not be used
-  /// @return nothing if it fits nowhere now
+  /// @return nothing if the task fits on no worker now
   /// @complexity far below linear in the number of workers
   [[nodiscard]] std::optional<WorkerId> Find(
       const Resources& resources, Packing packing,
       std::span<const WorkerId> avoid,
       HoldPolicy holds = HoldPolicy::kRespect) const;
-  /// Finds room for `tasks` like tasks at once, within one rack if possible.
-  /// @return one worker per task (a worker may stand several times), or empty
+  /// Finds workers for `tasks` identical tasks at once, within one rack if
+  /// possible.
+  /// @return one worker per task (a worker may occur several times), or empty
   [[nodiscard]] std::vector<WorkerId> FindGang(
       const Resources& resources, std::int32_t tasks, Packing packing,
       std::span<const WorkerId> avoid,
       HoldPolicy holds = HoldPolicy::kRespect) const;
-  /// Finds the earliest moment at which a gang fits if tasks end as expected.
-  /// HoldPolicy are left out of account.
-  /// @param releases in order of time
-  /// @return nothing if it does not fit even after all of them
+  /// Finds the earliest time at which a gang fits if running tasks end as
+  /// expected. Ignores holds.
+  /// @param releases sorted by time
+  /// @return nothing if the gang does not fit even after all releases
   [[nodiscard]] std::optional<GangPlan> PlanGang(
       const Resources& resources, std::int32_t tasks, Packing packing,
       std::span<const WorkerId> avoid, Instant now,
       std::span<const ExpectedRelease> releases) const;
 
-  /// Keeps room on a worker back for a gang: searches that respect holds see
-  /// that much less free there. Replaces the hold there; unknown workers are
-  /// ignored.
+  /// Holds capacity on a worker for a gang: searches that respect holds see
+  /// that much less free capacity there. Replaces the existing hold on the
+  /// worker. Unknown workers are ignored.
   void Hold(const WorkerId& worker, const Resources& resources);
   void ClearHolds();
-  /// @return what is held back there
+  /// @return capacity held on a worker
   [[nodiscard]] Resources HeldResources(const WorkerId& worker) const;
 
-  /// Counts from now on how many tasks of this size fit, for `TrackedFitCount`.
+  /// Sets the task size that `TrackedFitCount` counts.
   /// @complexity linear in the number of workers when the size changes
   void TrackFitCount(const Resources& task);
   /// @return how many tasks of the tracked size fit now
   /// @complexity constant
   [[nodiscard]] std::int64_t TrackedFitCount() const;
-  /// @return the same if `resources` were taken on `worker`
+  /// @return `TrackedFitCount` after `resources` would be reserved on `worker`
   [[nodiscard]] std::int64_t TrackedFitCountWithout(
       const WorkerId& worker, const Resources& resources) const;
 
-  /// @return true if an empty owned worker could hold it
+  /// @return true if the resources fit on an idle worker
   [[nodiscard]] bool CouldEverFit(const Resources& resources) const;
-  /// @return how many such tasks all open workers, emptied, could hold
+  /// @return number of such tasks that all workers could run if they were idle
   [[nodiscard]] std::int64_t CountFittingWhenIdle(
       const Resources& resources) const;
   [[nodiscard]] Resources LargestCapacity() const;
   [[nodiscard]] Resources TotalCapacity() const;
-  /// Free on workers that take new work.
+  /// Sum of the free resources of all workers that accept new tasks.
   [[nodiscard]] Resources TotalFree() const;
-  /// Part by part, the most that is free on one worker that takes new work.
+  /// Component-wise maximum of the free resources of the workers that accept
+  /// new tasks.
   [[nodiscard]] Resources LargestFree() const;
   [[nodiscard]] std::optional<Resources> FreeOn(const WorkerId& worker) const;
   [[nodiscard]] std::size_t WorkerCount() const;
--- a/packages/core/include/mustardproxy/core/resource_math.h
+++ b/packages/core/include/mustardproxy/core/resource_math.h
@@ -7,21 +7,21 @@
 
 namespace mustardproxy {
 
-/// Part by part, the larger of both.
+/// Component-wise maximum.
 [[nodiscard]] Resources ComponentMax(const Resources& a, const Resources& b);
-/// Part by part, the smaller of both.
+/// Component-wise minimum.
 [[nodiscard]] Resources ComponentMin(const Resources& a, const Resources& b);
-/// Raises negative components to zero.
+/// Replaces negative components by zero.
 [[nodiscard]] Resources ClampToZero(const Resources& resources);
-/// Each part `count` times.
+/// Multiplies each component by `count`.
 [[nodiscard]] Resources Multiply(const Resources& resources,
                                  std::int64_t count);
-/// @return how many tasks of this size fit into `room` side by side; a task
-///   that takes nothing counts as fitting `kUnboundedCount` times
+/// @return number of tasks of this size that fit into `room` together;
+///   components that a task does not need count as `kUnboundedCount`
 [[nodiscard]] std::int64_t CountFitting(const Resources& task,
                                         const Resources& room);
-/// @return largest of the components of `used` as a share of `total`; a part of
-///   which there is none at all is left out
+/// @return largest component of `used` relative to `total`; components whose
+///   total is zero are ignored
 [[nodiscard]] double DominantShare(const Resources& used,
                                    const Resources& total);
 
--- a/packages/core/include/mustardproxy/core/resources.h
+++ b/packages/core/include/mustardproxy/core/resources.h
@@ -5,8 +5,8 @@
 
 namespace mustardproxy {
 
-/// An amount of everything that a worker has to give. A task always takes one
-/// slot, and one connection while its answer is waited for.
+/// Amount of each resource of a worker. A task always takes one slot, and one
+/// connection while its answer is awaited.
 struct Resources {
   /// Thousandths of a processor.
   std::int64_t cpu_milli = 0;
@@ -34,7 +34,7 @@
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
 
-  /// @return true if this amount is no larger than `room` in any part
+  /// @return true if no component exceeds that of `room`
   [[nodiscard]] bool FitsIn(const Resources& room) const {
     return this->cpu_milli <= room.cpu_milli &&
            this->memory_mb <= room.memory_mb &&
--- a/packages/core/include/mustardproxy/core/scheduler.h
+++ b/packages/core/include/mustardproxy/core/scheduler.h
@@ -17,23 +17,25 @@
 
 namespace mustardproxy {
 
-/// A request that waits for room, as the scheduler sees it. Its tasks are all
-/// alike.
+/// A request waiting for placement, as the scheduler sees it. All of its tasks
+/// need the same resources.
 struct QueuedRequest {
   RequestId request;
   ServiceId service;
   TeamId team;
-  /// When it arrived here.
+  /// When the request arrived at this process.
   Instant arrived;
-  /// Given up on at this moment if still not placed.
+  /// The request expires if it is not placed by this time.
   Instant placement_deadline;
-  /// Attempt number, from 1; part of the task ids.
+  /// Attempt number, starting at 1; part of the task ids.
   std::int32_t attempt = 1;
-  /// Workers that must not get it, for example the one it just failed on.
+  /// Workers that must not run the request, for example the one on which it
+  /// just failed.
   std::vector<WorkerId> avoid;
 };
 
-/// Resources are reserved in the ledger; the task is to be sent now.
+/// A task with resources reserved in the ledger, ready to be sent to its
+/// worker.
 struct Placement {
   RequestId request;
   TaskId task;
@@ -41,33 +43,36 @@
   Resources resources;
 };
 
-/// A running task that must make room for urgent work.
+/// A running task to be stopped so that urgent work can be placed.
 struct Preemption {
   TaskId task;
   RequestId request;
   WorkerId worker;
 };
 
-/// Whether a request may join the queue.
+/// Result of the admission check for a request.
 struct Admission {
-  /// Empty: it is queued.
+  /// Empty if the request was queued.
   std::error_code refusal;
-  /// Names the resource or limit, and the largest worker where it matters.
+  /// Names the resource or limit that caused the refusal, and the largest
+  /// worker where it matters.
   std::string detail;
-  /// From the measured drain rate.
+  /// Computed from the measured drain rate.
   Duration retry_after{0};
 };
 
-/// Choices of the placement policy.
+/// Parameters of the placement policy.
 struct SchedulerOptions {
-  /// Share of the cell that the work of each priority but the first may hold
-  /// before more urgent priorities, the first excepted; 0 for strict priority.
+  /// Share of the cell that each priority other than 0 may hold before more
+  /// urgent priorities (except priority 0) are served; 0 selects strict
+  /// priority.
   double guaranteed_share = 0.15;
 };
 
-/// Queues and placement decisions of one process: fair share between teams by
-/// dominant resource, deadline order within a team, priority between profiles,
-/// reservations for gangs with backfill, headroom for urgent work.
+/// Queues and placement decisions of one process: dominant-resource fair
+/// sharing between teams, earliest deadline first within a team, priorities
+/// between profiles, reservations for gangs with backfill, and headroom for
+/// urgent work.
 class Scheduler {
  public:
   explicit Scheduler(SchedulerOptions options = {});
@@ -75,49 +80,56 @@
   Scheduler(Scheduler&&) noexcept;
   Scheduler& operator=(Scheduler&&) noexcept;
 
-  /// Follows a change of the configuration; what is queued stays queued.
+  /// Applies a new configuration; queued requests stay queued.
   void Configure(const Configuration& configuration);
 
-  /// Queues a request, or says why not. Checks, in order: known service and
-  /// team, fits an empty worker (or the gang the emptied workers), queue limit,
-  /// quota, and predicted wait against the profile and `placement_deadline`.
-  /// @param recovered work that was accepted before and may not be refused
+  /// Queues a request or returns the reason for refusing it. Checks, in order:
+  /// the service and team are known; the task fits an idle worker (a gang: all
+  /// workers when idle); queue limit; quota; predicted wait against the profile
+  /// and `placement_deadline`.
+  /// @param recovered the request was accepted earlier and must not be refused,
+  ///   except if its service is unknown
   [[nodiscard]] Admission Enqueue(Instant now, const Ledger& ledger,
                                   QueuedRequest request,
                                   bool recovered = false);
-  /// Takes a request out of its queue.
+  /// Removes a request from its queue.
   /// @return false if it was not queued
   /// @complexity constant; the queue entry is removed lazily
   bool Cancel(const RequestId& request);
 
-  /// Places what can be placed, with resources reserved in `ledger`.
-  /// A gang appears with all of its placements or not at all.
-  /// @param limit most tasks placed in this call, to bound its time
+  /// Places queued requests and reserves their resources in `ledger`. A gang is
+  /// placed with all of its tasks or not at all.
+  /// @param limit number of placements after which the call stops, to bound its
+  ///   run time; the last gang placed may exceed it
   [[nodiscard]] std::vector<Placement> Schedule(Instant now, Ledger* ledger,
                                                 std::size_t limit);
-  /// Running tasks to stop so that urgent requests that wait can be placed.
-  /// Each is named once.
+  /// Selects running tasks to stop so that waiting urgent requests can be
+  /// placed. Each task is returned once.
   [[nodiscard]] std::vector<Preemption> ChooseVictims(Instant now,
                                                       const Ledger& ledger);
-  /// Requests whose `placement_deadline` has passed; they are no longer queued.
+  /// Removes and returns the queued requests whose `placement_deadline` has
+  /// passed.
   [[nodiscard]] std::vector<RequestId> Expire(Instant now);
 
-  /// A placed task has ended or never started; frees it in `ledger` and learns
-  /// its run time when `ran`.
+  /// Records that a placed task ended or never started. Releases its resources
+  /// in `ledger`; if `ran` is true, its run time is added to the statistics of
+  /// the service.
   void OnTaskEnded(Instant now, Ledger* ledger, const TaskId& task, bool ran);
-  /// Counts a task that was found running at a takeover against its team.
+  /// Adds a task that was found running after a takeover and charges it to its
+  /// team.
   void AdoptRunningTask(Instant now, const TaskId& task,
                         const RequestId& request, const ServiceId& service,
                         const TeamId& team, const WorkerId& worker,
                         Duration running_for);
 
-  /// @return wait that a request of `service` would meet now
+  /// @return predicted wait of a request of `service` that arrives now
   [[nodiscard]] Duration PredictWait(Instant now, const Ledger& ledger,
                                      const ServiceId& service) const;
-  /// @return when to come back, from the measured drain rate, at least 1 s
+  /// @return delay after which a refused caller should retry, computed from the
+  ///   measured drain rate; at least 1 s
   [[nodiscard]] Duration RetryAfter(Instant now) const;
-  /// @return next moment at which `Schedule` or `Expire` has something to do
-  ///   of its own accord, if any
+  /// @return next time at which `Schedule` or `Expire` should be called even
+  ///   without another event, if any
   [[nodiscard]] std::optional<Instant> NextWakeup() const;
   [[nodiscard]] std::size_t QueuedCount() const;
   [[nodiscard]] std::size_t RunningCount() const;
--- a/packages/core/src/ledger/free_capacity_index.cc
+++ b/packages/core/src/ledger/free_capacity_index.cc
@@ -6,7 +6,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// @return the first item that does not come before `key`
+/// @return the first item that is not ordered before `key`
 std::vector<FreeCapacityIndex::Item>::iterator LowerBound(
     const IndexKey& key, std::vector<FreeCapacityIndex::Item>* items) {
   return std::ranges::lower_bound(
@@ -92,7 +92,7 @@
   auto place = LowerBound(to, &block.items);
   const bool shrinks = found->room.ReachesAny(block.largest);
   *found = {to, room};
-  // Only the items between the old and the new place are shifted.
+  // Shifts only the items between the old and the new position.
   if (place > found) {
     std::rotate(found, found + 1, place);
   } else {
--- a/packages/core/src/ledger/free_capacity_index.h
+++ b/packages/core/src/ledger/free_capacity_index.h
@@ -10,25 +10,26 @@
 
 namespace mustardproxy::detail {
 
-/// A worker's place in the order of an index. Keys may repeat; the worker
-/// tells equal ones apart.
+/// Sort key of a worker in an index. Several workers may have the same key; the
+/// worker index breaks ties.
 struct IndexKey {
   std::uint32_t key = 0;
   WorkerIndex worker = 0;
 
-  /// @return one number in the order of keys, then workers
+  /// @return a single integer that sorts by key, then by worker
   [[nodiscard]] std::uint64_t SortKey() const {
     return (std::uint64_t{this->key} << 32) | this->worker;
   }
 };
 
-/// Workers in the order of a key, searchable by free resources.
+/// Workers sorted by a key and searchable by free resources.
 ///
-/// Sorted blocks of at most `kBlockSize` workers, each with the part-by-part
-/// maximum of what is free in it. A search skips every block whose maximum is
-/// too small, so it costs about the square root of the number of workers: a
-/// scan over blocks, then one within a block. Flat arrays beat a balanced tree
-/// at the sizes of a data centre.
+/// Consists of sorted blocks of at most `kBlockSize` workers; each block stores
+/// the component-wise maximum of its workers' free resources. A search skips
+/// every block whose maximum is too small, so its cost is about the square root
+/// of the number of workers: a scan over the blocks, then one within a block.
+/// Flat arrays are faster than a balanced tree for the number of workers in a
+/// data centre.
 class FreeCapacityIndex {
  public:
   struct Item {
@@ -38,17 +39,17 @@
 
   void Insert(const IndexKey& key, const PackedResources& room);
   void Erase(const IndexKey& key);
-  /// Gives a worker that is in the index another key and room.
+  /// Changes the key and the free resources of a worker that is in the index.
   void Move(const IndexKey& from, const IndexKey& to,
             const PackedResources& room);
   void Clear();
 
-  /// Calls `visit(item)` in ascending order of keys for each worker with room
-  /// for `need`, from key `from` on, until it returns false.
+  /// Calls `visit(item)` in ascending order of keys for each worker on which
+  /// `need` fits, starting at key `from`, until it returns false.
   template <typename Visitor>
   void VisitAscending(const PackedResources& need, std::uint32_t from,
                       Visitor visit) const;
-  /// The same from the highest key down.
+  /// Like `VisitAscending`, but in descending order from the highest key.
   template <typename Visitor>
   void VisitDescending(const PackedResources& need, Visitor visit) const;
 
@@ -64,7 +65,7 @@
   void EraseAt(std::size_t position, std::vector<Item>::iterator item);
   static void UpdateLargest(Block* block);
 
-  /// Never empty blocks; keys ascend within and across blocks.
+  /// Blocks are never empty; keys ascend within and across blocks.
   std::vector<Block> blocks;
 };
 
--- a/packages/core/src/ledger/free_resources_table.h
+++ b/packages/core/src/ledger/free_resources_table.h
@@ -10,21 +10,21 @@
 
 namespace mustardproxy::detail {
 
-/// What is free on each worker, in the fixed order of the ledger's table.
+/// Free resources of each worker, indexed by position in the ledger's table.
 ///
-/// A flat array in blocks, each with the part-by-part maximum of what is free
-/// in it, so that a search skips blocks without room. Nothing is sorted, so a
-/// change costs one write and at most a look at one block.
+/// A flat array in blocks, each with the component-wise maximum of its free
+/// resources, so that a search skips blocks in which nothing fits. Entries are
+/// not sorted, so an update costs one write and at most a scan of one block.
 class FreeResourcesTable {
  public:
-  /// The table grows as far as `worker` asks.
+  /// Grows the table as needed.
   void Set(WorkerIndex worker, const PackedResources& room);
-  /// Nothing fits there any more, not even an empty need.
+  /// Marks a worker as unused; not even an empty task fits there afterwards.
   void Clear(WorkerIndex worker);
-  /// @return part by part, the most that one worker has free
+  /// @return component-wise maximum over all workers
   [[nodiscard]] PackedResources Largest() const;
 
-  /// Calls `visit(worker, room)` for each worker with room for `need`, until it
+  /// Calls `visit(worker, room)` for each worker on which `need` fits, until it
   /// returns false.
   template <typename Visitor>
   void Visit(const PackedResources& need, Visitor visit) const;
--- a/packages/core/src/ledger/gang_plan.cc
+++ b/packages/core/src/ledger/gang_plan.cc
@@ -10,7 +10,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Free resources of the workers as they will be, release after release.
+/// Free resources of the workers at a future time, updated release by release.
 class FutureCapacity {
  public:
   FutureCapacity(const WorkerTable& table, const GangDemand& need);
@@ -23,7 +23,7 @@
   const WorkerTable& table;
   const GangDemand& need;
   std::vector<GangCandidate> candidates;
-  /// Free of the candidate at the same position.
+  /// Free resources of the candidate at the same index.
   std::vector<Resources> free;
   std::unordered_map<WorkerIndex, std::size_t> positions;
   std::int64_t total = 0;
--- a/packages/core/src/ledger/gang_plan.h
+++ b/packages/core/src/ledger/gang_plan.h
@@ -10,7 +10,7 @@
 
 namespace mustardproxy::detail {
 
-/// A gang that waits for room.
+/// A gang that waits for capacity.
 struct GangDemand {
   Resources resources;
   std::int32_t tasks = 1;
--- a/packages/core/src/ledger/gang_search.cc
+++ b/packages/core/src/ledger/gang_search.cc
@@ -28,7 +28,7 @@
   return racks;
 }
 
-/// @return the rack to use alone, or null if none can hold the whole gang
+/// @return the rack that runs the whole gang, or null if none can
 const RackCandidates* ChooseRack(std::span<const RackCandidates> racks,
                                  std::int64_t tasks, Packing packing) {
   const RackCandidates* chosen = nullptr;
@@ -44,8 +44,8 @@
   return chosen;
 }
 
-/// Fills one worker after the other, those with least fitting_tasks first
-/// unless the order is fixed; keeps large gaps whole.
+/// Fills one worker after the other. With best fit, workers with the least free
+/// capacity come first, which leaves large gaps unfragmented.
 void FillPacked(std::vector<GangCandidate> candidates, std::int64_t tasks,
                 Packing packing, std::vector<std::uint32_t>* gang) {
   if (packing == Packing::kBestFit) {
@@ -59,7 +59,8 @@
   }
 }
 
-/// Gives each worker one task in turn, those with most fitting_tasks first.
+/// Assigns one task to each worker in turn, starting with the worker that can
+/// run the most.
 void FillRoundRobin(std::vector<GangCandidate> candidates, std::int64_t tasks,
                     std::vector<std::uint32_t>* gang) {
   std::ranges::stable_sort(candidates, std::ranges::greater{},
--- a/packages/core/src/ledger/ledger.cc
+++ b/packages/core/src/ledger/ledger.cc
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// Protects the sums from what a broken worker reports.
+/// Upper limit of a reported capacity; prevents overflow of the sums if a
+/// worker reports absurd values.
 constexpr Resources kMaxCapacity{detail::kMaxComponent, detail::kMaxComponent,
                                  detail::kMaxComponent, detail::kMaxComponent};
 
--- a/packages/core/src/ledger/packed_resources.h
+++ b/packages/core/src/ledger/packed_resources.h
@@ -10,17 +10,17 @@
 
 namespace mustardproxy::detail {
 
-/// Largest part of a capacity that is indexed; more is cut off when a worker
-/// opens.
+/// Upper limit of each component of a worker's capacity; larger values are
+/// clamped when the worker is added.
 inline constexpr std::int64_t kMaxComponent = 1'000'000'000;
 
-/// Resources in half the space, so that searches touch less memory and compare
-/// all components at once.
+/// `Resources` in half the space, so that searches touch less memory and
+/// compare all components at once.
 struct PackedResources {
   static constexpr std::size_t kComponents = 4;
   std::array<std::int32_t, kComponents> components{};
 
-  /// A need above `kMaxComponent` packs to more than any room.
+  /// Resources above `kMaxComponent` are packed to a value that fits nowhere.
   static PackedResources Pack(const Resources& resources) {
     const auto part = [](std::int64_t amount) {
       return static_cast<std::int32_t>(
@@ -35,7 +35,7 @@
             this->components[3]};
   }
 
-  /// Without branches, since their outcome can not be foreseen.
+  /// Branch-free, since the result of each comparison is unpredictable.
   [[nodiscard]] bool FitsIn(const PackedResources& room) const {
     int too_large = 0;
     for (std::size_t i = 0; i < kComponents; ++i) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /// @return true if some part is at least as large as that of `other`
+  /// @return true if any component is at least as large as that of `other`
   [[nodiscard]] bool ReachesAny(const PackedResources& other) const {
     int touching = 0;
     for (std::size_t i = 0; i < kComponents; ++i) {
--- a/packages/core/src/ledger/packing_policy.cc
+++ b/packages/core/src/ledger/packing_policy.cc
@@ -11,19 +11,21 @@
 
 using Item = FreeCapacityIndex::Item;
 
-/// Fitting workers that best fit compares, from the least free one up.
+/// Number of fitting workers that best fit compares, starting with the least
+/// free capacity.
 constexpr int kBestFitCandidates = 8;
 
-/// Weight of leftover slots in a cost: a slot is of use to every task.
+/// Weight of unused slots in the cost; lower than 1 since every task can use a
+/// slot.
 constexpr double kSlotWeight = 0.5;
-/// Weight of processors and memory left over out of proportion. With a low
-/// weight best fit strands as much as first fit; with a much higher one it
-/// opens more workers than first fit.
+/// Weight of the imbalance between unused processors and unused memory. A low
+/// weight strands as many resources as first fit; a much higher one occupies
+/// more workers than first fit.
 constexpr double kImbalanceWeight = 3.0;
 
-/// @return how badly what would be left over on a worker can still be used:
-///   its size, and how far processors and memory are out of proportion, since
-///   one without the other is of no use to a later task
+/// @return cost of the resources left unused on a worker: their size plus a
+///   penalty for the imbalance between processors and memory, since later tasks
+///   cannot use one without the other
 double LeftoverCost(const PackedResources& room, const PackedResources& need,
                     const CapacityScale& scale) {
   const double cpu = (room.components[0] - need.components[0]) * scale.cpu;
--- a/packages/core/src/ledger/packing_policy.h
+++ b/packages/core/src/ledger/packing_policy.h
@@ -9,13 +9,13 @@
 
 namespace mustardproxy::detail {
 
-/// What one task needs of a worker.
+/// Requirements of one task.
 struct TaskDemand {
   Resources resources;
   std::span<const WorkerId> avoid;
 };
 
-/// Chooses one of the workers with room for a task.
+/// Strategy that chooses a worker for a task among those on which it fits.
 class PackingPolicy {
  public:
   PackingPolicy() = default;
@@ -23,15 +23,15 @@
   PackingPolicy& operator=(const PackingPolicy&) = delete;
   virtual ~PackingPolicy() = default;
 
-  /// @return nothing if the task fits nowhere
+  /// @return nothing if the task fits on no worker
   [[nodiscard]] virtual std::optional<WorkerIndex> Choose(
       const WorkerTable& table, const TaskDemand& need) const = 0;
 };
 
-/// @return the policy that a profile names; it lives as long as the program
+/// @return the policy for a profile's packing; a static object
 [[nodiscard]] const PackingPolicy& PolicyFor(Packing packing);
 
-/// @return true if `worker` is none of `avoid`
+/// @return true if `worker` is not in `avoid`
 [[nodiscard]] bool IsAllowed(const WorkerTable& table, WorkerIndex worker,
                              std::span<const WorkerId> avoid);
 
--- a/packages/core/src/ledger/worker_entry.cc
+++ b/packages/core/src/ledger/worker_entry.cc
@@ -8,8 +8,8 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A worker that returns from ejection gets one task at least, or it could
-/// never prove itself.
+/// A worker that returns from ejection gets at least one slot; without a task
+/// it could never demonstrate that it is healthy.
 std::int64_t SlotLimit(std::int64_t slots, double share) {
   if (share >= 1.0) return slots;
   if (share <= 0.0) return 0;
--- a/packages/core/src/ledger/worker_entry.h
+++ b/packages/core/src/ledger/worker_entry.h
@@ -9,33 +9,33 @@
 
 namespace mustardproxy::detail {
 
-/// Position of a worker in the ledger's table; reused after the worker closes.
+/// Index of a worker in the ledger's table; reused after the worker is removed.
 using WorkerIndex = std::uint32_t;
-/// Position of a rack in the ledger's table; never reused.
+/// Index of a rack in the ledger's table; never reused.
 using RackIndex = std::uint32_t;
 
-/// What the ledger knows of one open worker.
+/// Ledger entry of one worker.
 struct WorkerEntry {
   WorkerId id;
   RackId rack;
   Resources capacity;
-  /// Sum over `tasks`. May pass `capacity` when a worker reports more running
-  /// than it has.
+  /// Sum over `tasks`. May exceed `capacity` if a worker reports more running
+  /// tasks than it has capacity for.
   Resources used;
-  /// Kept back for a gang.
+  /// Held for a gang.
   Resources held;
   std::unordered_map<TaskId, Resources> tasks;
   bool registered = false;
   bool placeable = true;
-  /// Part of the slots that may be handed out, in 0..1.
+  /// Fraction of the slots that may be used, in 0..1.
   double share = 1.0;
 
-  /// @return what new tasks may take, holds left out of account
+  /// @return capacity available to new tasks, ignoring holds
   [[nodiscard]] Resources Free() const;
-  /// Counts a task; one that is known already is not indexed again.
+  /// Adds a task. A known task is not added again.
   /// @return false if it was known
   bool AddTask(const TaskId& task, const Resources& resources);
-  /// Gives a task's resources back; an unknown one is ignored.
+  /// Removes a task and its resources. Unknown tasks are ignored.
   void RemoveTask(const TaskId& task);
 };
 
--- a/packages/core/src/ledger/worker_table.cc
+++ b/packages/core/src/ledger/worker_table.cc
@@ -8,7 +8,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Steps per part of a size key.
+/// Resolution of a size key: steps per component.
 constexpr double kSizeSteps = 4096;
 
 double Reciprocal(std::int64_t whole) {
--- a/packages/core/src/ledger/worker_table.h
+++ b/packages/core/src/ledger/worker_table.h
@@ -19,18 +19,20 @@
 struct Rack {
   RackId id;
   std::vector<WorkerIndex> workers;
-  /// Free on those of them that take new work.
+  /// Sum of the free resources of its workers that accept new tasks.
   Resources free;
 };
 
-/// How many open workers have one capacity. A cell has few such kinds.
+/// Number of workers with the same capacity. A cell has only a few different
+/// capacities.
 struct CapacityClass {
   Resources capacity;
   std::int64_t workers = 0;
 };
 
-/// What one unit of each part is of the largest capacity; zero for a part that
-/// no worker has. Divisions are done once, when the largest capacity changes.
+/// Reciprocal of each component of the largest capacity; zero for a component
+/// that no worker has. Computed only when the largest capacity changes, which
+/// avoids divisions in searches.
 struct CapacityScale {
   double cpu = 0;
   double memory = 0;
@@ -38,32 +40,32 @@
   double slots = 0;
 };
 
-/// Open workers with everything derived from them: indexes over free
-/// resources, sums, racks. Derived values are brought up to date in one place,
-/// `Refresh`, by the difference to what was indexed last.
+/// All workers with the data derived from them: indexes over free resources,
+/// sums and racks. Derived data is updated only in `Refresh`, by the difference
+/// from the values indexed last.
 class WorkerTable {
  public:
-  /// Adds an open worker, which must not be known yet.
+  /// Adds a worker, which must not be in the table yet.
   void Add(WorkerEntry entry);
   void Remove(WorkerIndex worker);
   [[nodiscard]] std::optional<WorkerIndex> Find(const WorkerId& worker) const;
   [[nodiscard]] const WorkerEntry& At(WorkerIndex worker) const;
-  /// Changes to the entry count once `Refresh` has been called for it.
+  /// Gives write access to an entry; `Refresh` must be called after a change.
   [[nodiscard]] WorkerEntry& MutableAt(WorkerIndex worker);
   void Refresh(WorkerIndex worker);
-  /// Sets what is held back there for a gang.
+  /// Sets the capacity held for a gang.
   void Hold(WorkerIndex worker, const Resources& resources);
   void ClearHolds();
-  /// Counts from now on how many tasks of this size fit.
+  /// Sets the task size that `TrackedFitCount` counts.
   void TrackFitCount(const Resources& task);
 
   [[nodiscard]] std::size_t Size() const { return this->by_id.size(); }
   [[nodiscard]] std::span<const Rack> Racks() const { return this->racks; }
   [[nodiscard]] std::span<const CapacityClass> Classes() const;
   [[nodiscard]] std::span<const WorkerIndex> HeldWorkers() const;
-  /// Free without holds, in the fixed order of the table.
+  /// Free resources without holds, by position in the table.
   [[nodiscard]] const FreeResourcesTable& FreeTable() const;
-  /// Free without holds, by `SizeKey`.
+  /// Free resources without holds, sorted by `SizeKey`.
   [[nodiscard]] const FreeCapacityIndex& BySize() const;
   [[nodiscard]] const Resources& TotalCapacity() const;
   [[nodiscard]] const Resources& LargestCapacity() const;
@@ -73,13 +75,13 @@
   [[nodiscard]] std::int64_t TrackedFitCount() const {
     return this->tracked_fit_count;
   }
-  /// @return one number for the size of an amount, relative to the largest
-  ///   capacity; no part can grow without it growing or staying
+  /// @return scalar size of an amount relative to the largest capacity;
+  ///   monotonic in every component
   [[nodiscard]] std::uint32_t SizeKey(const Resources& resources) const;
   [[nodiscard]] const CapacityScale& Scale() const { return this->scale; }
 
  private:
-  /// What was last indexed of a worker.
+  /// Values of a worker that are currently included in the indexes and sums.
   struct IndexedState {
     Resources free;
     Resources available;
--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -12,9 +12,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Longest time after which callers are told to come back.
+/// Upper limit of the retry delay given to refused callers.
 constexpr Duration kMaxRetryAfter = std::chrono::minutes(10);
-/// Tenth of a profile's queue that only teams below their share may fill.
+/// One in this many places of a profile's queue is reserved for teams below
+/// their fair share.
 constexpr std::int64_t kReservedQueueDivisor = 10;
 
 struct NamedResource {
@@ -86,9 +87,9 @@
   return {Error::kGangImpossible, text.str(), Duration(0)};
 }
 
-/// A full queue must not mean that the team that fills it shuts the others
-/// out. So the last tenth of a profile's queue is kept for teams that hold less
-/// of the queue than their weight gives them.
+/// Checks the queue limit of the profile. The last tenth of the queue is
+/// reserved for teams that use less of it than their weight entitles them to,
+/// so that one team that fills the queue cannot lock out the others.
 Admission CheckQueue(Instant now, const SchedulerState& state,
                      const ServiceEntry& service, TeamIndex team) {
   const auto found = state.queued_by_profile.find(service.profile.id);
--- a/packages/core/src/scheduler/admission.h
+++ b/packages/core/src/scheduler/admission.h
@@ -7,14 +7,14 @@
 
 namespace mustardproxy::detail {
 
-/// Decides whether a request of a known service and team may be queued.
+/// Checks whether a request may be queued. Its service and team must be known.
 /// @return an admission without refusal if it may
 [[nodiscard]] Admission CheckAdmission(Instant now, const SchedulerState& state,
                                        const Ledger& ledger,
                                        const QueuedRequest& request,
                                        ServiceIndex service, TeamIndex team);
 
-/// Shortest time after which callers are told to come back.
+/// Lower limit of the retry delay given to refused callers.
 inline constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/scheduler/catalog.cc
+++ b/packages/core/src/scheduler/catalog.cc
@@ -7,7 +7,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A weight of zero would make a share endless.
+/// A weight of zero would cause a division by zero in the weighted share.
 constexpr double kMinWeight = 1e-6;
 
 bool ComponentWithin(std::int64_t amount, std::int64_t limit) {
--- a/packages/core/src/scheduler/catalog.h
+++ b/packages/core/src/scheduler/catalog.h
@@ -15,31 +15,31 @@
 using ServiceIndex = std::uint32_t;
 using TeamIndex = std::uint32_t;
 
-/// A service with its profile and what was measured of it.
+/// A service with its profile and its measured statistics.
 struct ServiceEntry {
   ServiceId id;
-  /// False once the configuration no longer names it; what is queued of it
-  /// goes on by its last definition.
+  /// False if the current configuration does not contain the service. Its
+  /// queued requests then use its last definition.
   bool configured = false;
   Resources resources;
   std::int32_t tasks = 1;
-  /// Taken by all tasks of a request together.
+  /// Resources of all tasks of one request.
   Resources request_resources;
   Profile profile;
   Duration declared_run_time{0};
   RunTimes run_times;
-  /// Requests, whether accepted or not.
+  /// All requests, accepted or refused.
   ArrivalRate arrivals;
   std::int64_t running_tasks = 0;
 
-  /// The declared time is only used until there is a sample.
+  /// The measured run time if there are samples, otherwise the declared one.
   [[nodiscard]] Duration ExpectedRunTime() const;
   [[nodiscard]] Duration P90RunTime() const;
   [[nodiscard]] Duration MeanRunTime() const;
   [[nodiscard]] Duration ExpectedRemaining(Duration elapsed) const;
 };
 
-/// A team with what its running tasks hold.
+/// A team with the resources of its running tasks.
 struct TeamEntry {
   TeamId id;
   bool configured = false;
@@ -47,19 +47,20 @@
   Resources quota;
   Resources used;
 
-  /// @return true if `more` fits beside what it holds
+  /// @return true if `more` fits into the quota in addition to `used`
   [[nodiscard]] bool HasQuotaFor(const Resources& more) const;
 };
 
-/// @return true if `amount` passes no part of `quota`; zero parts are no limit
+/// @return true if no component of `amount` exceeds `quota`; a component of
+///   zero is unlimited
 [[nodiscard]] bool WithinQuota(const Resources& amount, const Resources& quota);
 
-/// Services and teams under small numbers that stay valid over changes of the
-/// configuration.
+/// Services and teams under indexes that stay valid when the configuration
+/// changes.
 class Catalog {
  public:
   void Configure(const Configuration& configuration);
-  /// @return the number of a service, configured or not, added if new
+  /// @return the index of a service, added if new, whether configured or not
   ServiceIndex FindOrAddService(const ServiceId& id);
   TeamIndex FindOrAddTeam(const TeamId& id);
   [[nodiscard]] std::optional<ServiceIndex> FindService(
--- a/packages/core/src/scheduler/gang_reservation.cc
+++ b/packages/core/src/scheduler/gang_reservation.cc
@@ -8,8 +8,8 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A plan costs a pass over all running tasks, so the more run the less often
-/// it is made.
+/// A plan scans all running tasks, so the interval between plans grows with
+/// their number.
 constexpr Duration kMinPlanInterval = std::chrono::milliseconds(50);
 constexpr Duration kPlanIntervalPerTask = std::chrono::microseconds(25);
 
@@ -87,9 +87,10 @@
                                           const Resources& resources,
                                           Ledger* ledger) {
   if (!this->Active()) return;
-  // Expected ends are often wrong. Whatever comes free, also elsewhere than
-  // planned, is held until the next plan sorts out what is needed: else small
-  // tasks take it, and the gang waits for the last of the expected ends.
+  // Expected ends are often wrong, so all released capacity that the gang can
+  // use is held until the next plan, on unplanned workers too. Otherwise small
+  // tasks would use it, and the gang would wait for the last of the expected
+  // ends.
   const Resources free = ledger->FreeOn(worker).value_or(Resources{});
   const std::int64_t usable = CountFitting(this->task, free);
   const auto found = this->planned.find(worker);
--- a/packages/core/src/scheduler/gang_reservation.h
+++ b/packages/core/src/scheduler/gang_reservation.h
@@ -13,50 +13,52 @@
 
 namespace mustardproxy::detail {
 
-/// A request that does not fit now and is to have room kept for it.
+/// A request that does not fit now and needs a reservation.
 struct ReservationRequest {
   RequestId request;
   const ServiceEntry* service = nullptr;
   std::span<const WorkerId> avoid;
 };
 
-/// Room pending to the first gang (or large task) that does not fit.
+/// Capacity reserved for the first gang (or large task) that does not fit.
 ///
-/// Without it small tasks take each gap as it opens, and a gang starves. The
-/// reservation names the workers and the moment, worked out from the expected
-/// ends of running tasks, and holds room back on these workers in the ledger.
-/// Other work goes on beside it: on other workers, in what the gang leaves
-/// over, and inside the held room if it is expected to end before the gang
-/// starts (backfill).
+/// Without a reservation, small tasks would use every gap as soon as it opens
+/// and the gang would starve. The reservation plans workers and a start time
+/// from the expected ends of running tasks and holds capacity on these workers
+/// in the ledger. Other work is still placed on other workers, in capacity that
+/// the gang does not need, and within the held capacity if it is expected to
+/// end before the gang starts (backfill).
 class GangReservation {
  public:
   [[nodiscard]] bool Active() const { return this->request.has_value(); }
   [[nodiscard]] bool HeldBy(const RequestId& other) const;
   [[nodiscard]] const std::optional<RequestId>& Holder() const;
-  /// Priority of the holder.
+  /// Priority of the holder of the reservation.
   [[nodiscard]] std::int32_t Priority() const { return this->priority; }
-  /// @return true if work of this priority need not care for the reservation
+  /// @return true if work of this priority ignores the reservation
   [[nodiscard]] bool OutrankedBy(std::int32_t other) const;
-  /// Whether the holder's priority is below its guaranteed share: then only
-  /// urgent work outranks it.
+  /// Sets whether the holder's priority is below its guaranteed share; if so,
+  /// only urgent work (priority 0) outranks it.
   void SetGuaranteed(bool guaranteed) { this->guaranteed = guaranteed; }
-  /// @return true if work of this priority may take the reservation now
+  /// @return true if a request of this priority may make a reservation now
   [[nodiscard]] bool IsAvailableTo(Instant now, std::int32_t by_priority) const;
-  /// Plans for a request and holds room for it; drops any other reservation.
-  /// Nothing is held if it is not expected to fit at all.
+  /// Plans the placement of a request and holds capacity for it, replacing any
+  /// other reservation. Reserves nothing if the request is not expected to fit
+  /// at all.
   void ReserveFor(Instant now, const ReservationRequest& need,
                   const RunningTasks& running, const Catalog& catalog,
                   Ledger* ledger);
   void Clear(Ledger* ledger);
-  /// @return true if the plan is old and should be made again
+  /// @return true if the plan is due to be recomputed
   [[nodiscard]] bool PlanIsStale(Instant now) const;
-  /// Room freed on a worker becomes held as far as the gang can use it.
+  /// Extends the hold on a worker by released resources, as far as the gang can
+  /// use them.
   void OnResourcesReleased(const WorkerId& worker, const Resources& resources,
                            Ledger* ledger);
-  /// @return whether work may use held room
+  /// @return whether tasks of a service may use held capacity
   [[nodiscard]] HoldPolicy HoldPolicyFor(Instant now,
                                          const ServiceEntry& service) const;
-  /// @return how many tasks of this size fit into what is held
+  /// @return number of tasks of this size that fit into the held capacity
   [[nodiscard]] std::int64_t CountFittingInHolds(const Resources& task,
                                                  const Ledger& ledger) const;
   [[nodiscard]] std::optional<Instant> NextPlanTime() const;
@@ -69,10 +71,10 @@
   std::int32_t priority = 0;
   bool guaranteed = false;
   Resources task;
-  /// When the gang is expected to start.
+  /// Expected start of the gang.
   Instant start;
   std::optional<Instant> next_plan_time;
-  /// Tasks of the gang planned on each worker.
+  /// Number of the gang's tasks planned on each worker.
   std::unordered_map<WorkerId, std::int64_t> planned;
 };
 
--- a/packages/core/src/scheduler/headroom.cc
+++ b/packages/core/src/scheduler/headroom.cc
@@ -11,16 +11,16 @@
 constexpr Duration kUpdateInterval = std::chrono::milliseconds(100);
 constexpr double kMaxDeviations = 3.0;
 constexpr double kMinDeviations = 1.0;
-/// Wait that does no harm, as a part of the shortest that an urgent profile
-/// allows.
+/// Acceptable wait as a fraction of the shortest `max_wait` of the urgent
+/// profiles.
 constexpr double kWaitWindowFraction = 0.1;
 constexpr std::int32_t kMaxPriorityShift = 8;
-/// Part of the emptied cell that is kept free at most.
+/// The headroom is at most the capacity of the idle cell divided by this.
 constexpr std::int64_t kMaxHeadroomDivisor = 2;
-/// Tasks at once below which a service has stopped arriving.
+/// Mean number of concurrent tasks below which a service counts as inactive.
 constexpr double kMinUrgentLoad = 0.01;
 
-/// Urgent tasks that run at once on average, and their mean size.
+/// Mean number of concurrent urgent tasks, and the sums of their resources.
 struct UrgentLoad {
   double tasks = 0;
   double cpu_milli = 0;
--- a/packages/core/src/scheduler/headroom.h
+++ b/packages/core/src/scheduler/headroom.h
@@ -9,42 +9,43 @@
 
 namespace mustardproxy::detail {
 
-/// Room kept free for urgent work (priority 0), as much as its measured
-/// arrivals and run times ask for.
+/// Capacity kept free for urgent work (priority 0), sized by its measured
+/// arrival rate and run time.
 ///
-/// With arrivals at random, the number of urgent tasks that run at once has
-/// about the mean and variance of `rate * run time`. Room is kept for that mean
-/// and some standard deviations, less what urgent tasks hold already: three
-/// deviations if other work hardly ever ends, one if so much of it ends that an
-/// urgent request soon finds room anyway. Never for more than half of the cell.
+/// With random arrivals, the number of urgent tasks running concurrently has
+/// mean and variance of about `rate * run time`. The headroom is this mean plus
+/// a number of standard deviations, less the urgent tasks already running:
+/// three deviations if other work rarely ends, down to one if enough of it ends
+/// for an urgent request to be placed soon anyway. It never exceeds half of the
+/// cell.
 class Headroom {
  public:
-  /// Works the target out again if it is due.
+  /// Recomputes the target if it is due.
   void Update(Instant now, const Catalog& catalog, Ledger* ledger);
-  /// Follows the other work that runs.
-  /// @param share_per_second share of the cell that its ends free
+  /// Sets the rate at which non-urgent tasks release capacity.
+  /// @param share_per_second share of the cell released per second
   void SetNonUrgentReleaseRate(double share_per_second);
   void OnUrgentStarted() { ++this->running; }
   void OnUrgentEnded() { --this->running; }
-  /// @return tasks of the mean urgent size to be kept room for now
+  /// @return number of tasks of the mean urgent size to keep capacity free for
   [[nodiscard]] std::int64_t ReservedTasks() const;
-  /// @return the part of it that work of a priority must leave: half for
-  ///   priority 1, three quarters for 2, and so on. So work in the middle is
-  ///   not shut out by long tasks of the lowest priority.
+  /// @return the part of the headroom that a priority must leave free: half for
+  ///   priority 1, three quarters for priority 2, and so on. Long tasks of the
+  ///   lowest priority thus cannot lock out intermediate priorities.
   [[nodiscard]] std::int64_t ReservedTasksFor(std::int32_t priority) const;
-  /// The mean urgent task.
+  /// Resources of the mean urgent task.
   [[nodiscard]] const Resources& MeanTask() const { return this->task; }
-  /// @return when the target changes next
+  /// @return time of the next recomputation
   [[nodiscard]] std::optional<Instant> NextUpdate() const;
 
  private:
   std::optional<Instant> updated;
   Resources task;
-  /// Dominant share of the cell that the mean urgent task takes.
+  /// Dominant share of the cell used by the mean urgent task.
   double task_share = 0;
-  /// Mean number of urgent tasks that run at once.
+  /// Mean number of urgent tasks running concurrently.
   double mean_tasks = 0;
-  /// Wait that an urgent request may well meet.
+  /// Acceptable wait of an urgent request.
   double window_seconds = 0;
   double non_urgent_ends_per_second = 0;
   std::int64_t max_tasks = 0;
