--- a/packages/core/src/scheduler/placement_pass.cc
+++ b/packages/core/src/scheduler/placement_pass.cc
@@ -9,10 +9,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Requests stepped over in a pass because of the workers they avoid.
+/// Number of requests skipped in a pass because of their avoided workers.
 constexpr int kMaxSkippedRequests = 16;
-/// A single task this large, as a share of the largest worker, can starve
-/// behind small ones like a gang.
+/// A single task of at least this share of the largest worker can starve behind
+/// small tasks, as a gang can.
 constexpr double kLargeTaskShare = 0.25;
 /// Wait after which such a task gets a reservation.
 constexpr Duration kLargeTaskReservationDelay = std::chrono::seconds(1);
@@ -84,8 +84,8 @@
     const Profile& profile = this->state->catalog.ServiceAt(service).profile;
     if (profile.priority == reservation.Priority()) return;
   }
-  // Cancelled, expired, or of another priority since a change of the
-  // configuration.
+  // The holder was cancelled or has expired, or a configuration change gave it
+  // another priority.
   reservation.Clear(this->ledger);
 }
 
@@ -181,7 +181,8 @@
   }
   if (!this->LeavesHeadroom(service, workers, holder)) {
     this->state->blocked_by_headroom = true;
-    // Else gangs, which find no room and reserve it, would pass by for good.
+    // Otherwise gangs, which reserve capacity when they find none, would
+    // overtake the request indefinitely.
     if (!holder) this->MaybeReserve(entry, service);
     return PlaceResult::kServiceBlocked;
   }
@@ -206,11 +207,12 @@
 bool PlacementPass::LeavesHeadroom(const ServiceEntry& service,
                                    const std::vector<WorkerId>& workers,
                                    bool holds_reservation) const {
-  // Work of the holder's priority or below leaves what is held besides, so room
-  // for the holder builds up next to the headroom. The holder itself leaves as
-  // little as priority 1, which outranks it and would else keep it out for
-  // good. Work below its guaranteed share likewise: priority 1 would take all
-  // room before as much is free as lower priorities must leave.
+  // Work of the holder's priority or below must leave the held capacity free in
+  // addition to the headroom, so that capacity for the holder accumulates next
+  // to the headroom. The holder itself leaves as little free as priority 1,
+  // which outranks it and would otherwise keep it waiting indefinitely. The
+  // same applies to work below its guaranteed share: priority 1 would take all
+  // capacity before as much is free as lower priorities must leave.
   const Headroom& headroom = this->state->headroom;
   const std::int32_t priority =
       holds_reservation || this->placing_guaranteed_share
@@ -263,8 +265,9 @@
     TaskId task = MakeTaskId(request.request, static_cast<std::int32_t>(i),
                              request.attempt);
     if (!this->ledger->Reserve(workers[i], task, service.resources)) {
-      // The id is in use already: this attempt runs, found at a takeover. All
-      // or nothing, so the rest is given back.
+      // The task id is already in use: this attempt was found running after a
+      // takeover. A request is placed completely or not at all, so the tasks
+      // reserved so far are released.
       for (std::size_t j = before; j < this->placements.size(); ++j) {
         this->ledger->Release(this->placements[j].worker,
                               this->placements[j].task);
--- a/packages/core/src/scheduler/placement_pass.h
+++ b/packages/core/src/scheduler/placement_pass.h
@@ -13,13 +13,13 @@
 
 namespace mustardproxy::detail {
 
-/// One run of `Scheduler::Schedule`: places what can be placed, the most urgent
-/// priority first, within it the team that holds least, within that the
-/// earliest `placement_deadline`.
+/// One run of `Scheduler::Schedule`. Requests are tried by priority, most
+/// urgent first; within a priority by team, lowest share first; within a team
+/// by earliest `placement_deadline`.
 ///
-/// During a pass room only shrinks. So once a service's task fits nowhere, no
-/// other request for the service is tried, and a pass over a full cell costs
-/// one search per waiting service however long the queues are.
+/// Free capacity only decreases during a pass. Once a task of a service fits
+/// nowhere, no other request for the service is tried, so a pass over a full
+/// cell costs one search per waiting service regardless of queue length.
 class PlacementPass {
  public:
   PlacementPass(Instant now, SchedulerState* state, Ledger* ledger,
@@ -27,26 +27,26 @@
   [[nodiscard]] std::vector<Placement> Run();
 
  private:
-  /// Why a request was not placed.
+  /// Outcome of trying to place a request.
   enum class PlaceResult {
     kPlaced,
     /// No other request for the service can be placed either.
     kServiceBlocked,
     /// No other request of the team for the service can be placed either.
     kFlowBlocked,
-    /// Concerns this request alone.
+    /// Only this request cannot be placed.
     kRequestBlocked,
   };
 
   void PlaceBand(std::int32_t priority, PriorityBand* band);
-  /// Places work of a band as long as it is below its guaranteed share.
+  /// Places requests of a band until it holds its guaranteed share.
   void PlaceGuaranteedShare(std::int32_t priority, PriorityBand* band);
   void ClearStaleReservation();
   void UpdateReservationGuarantee();
   void TryReservationHolder(std::int32_t priority);
-  /// @return false if nothing of the team can be placed
+  /// @return false if no request of the team can be placed
   bool PlaceNextRequest(const PriorityBand& band, TeamIndex team);
-  /// @return the flow of the team whose head is due first
+  /// @return the flow of the team with the earliest deadline
   [[nodiscard]] std::optional<FlowIndex> EarliestFlow(const PriorityBand& band,
                                                       TeamIndex team);
   PlaceResult TryPlace(RequestSlot slot);
@@ -72,7 +72,7 @@
   std::vector<RequestSlot> skipped_slots;
   int skipped_requests = 0;
   bool placing_guaranteed_share = false;
-  /// Dominant shares placed, by priority.
+  /// Sum of the dominant shares placed in this pass, by priority.
   std::map<std::int32_t, double> placed;
 };
 
--- a/packages/core/src/scheduler/priority_band.cc
+++ b/packages/core/src/scheduler/priority_band.cc
@@ -35,7 +35,7 @@
   --this->live;
   this->backlog -= request.size;
   if (--this->live_by_service[request.service] == 0) --this->waiting_services;
-  // Sums of floating point drift; an empty queue is exactly empty.
+  // Floating-point sums drift, so the sum of an empty queue is reset to zero.
   if (this->live == 0) this->backlog = 0;
   if (queue.live > 0) return;
   queue.backlog = 0;
--- a/packages/core/src/scheduler/priority_band.h
+++ b/packages/core/src/scheduler/priority_band.h
@@ -14,46 +14,48 @@
 
 namespace mustardproxy::detail {
 
-/// What a band counts when a request joins or leaves it.
+/// Data by which a band counts a queued request.
 struct BandRequest {
   FlowIndex flow = 0;
   ServiceIndex service = 0;
   TeamIndex team = 0;
-  /// Dominant share of the cell that its tasks take.
+  /// Dominant share of the cell that its tasks use.
   double size = 0;
 };
 
-/// All waiting requests of one priority, ordered between teams by weighted
-/// dominant share: the team that holds least, relative to its weight, is next.
+/// All waiting requests of one priority. Teams are ordered by weighted dominant
+/// share, lowest first.
 class PriorityBand {
  public:
   void AddRequest(const BandRequest& request, double team_share);
   void RemoveRequest(const BandRequest& request);
-  /// Moves a team to the place that its share gives it.
+  /// Updates the share of a team and its position in the order.
   void UpdateTeamShare(TeamIndex team, double share);
 
-  /// @return the team that is next, leaving out suspended ones
+  /// @return the team with the lowest share that is not suspended
   [[nodiscard]] std::optional<TeamIndex> NextTeam() const;
-  /// Leaves a team out until `ResumeTeams`, since nothing of it can be placed.
+  /// Excludes a team from `NextTeam` until `ResumeTeams` because none of its
+  /// requests can be placed.
   void SuspendTeam(TeamIndex team);
   void ResumeTeams();
 
   [[nodiscard]] std::span<const FlowIndex> FlowsOf(TeamIndex team) const;
   [[nodiscard]] bool Empty() const { return this->live == 0; }
-  /// Services of which something waits.
+  /// Number of services with waiting requests.
   [[nodiscard]] std::size_t WaitingServices() const;
-  /// Sum of the sizes of all that wait.
+  /// Sum of the sizes of all waiting requests.
   [[nodiscard]] double Backlog() const;
   [[nodiscard]] double BacklogOf(TeamIndex team) const;
-  /// Calls `visit(team, backlog)` for each team with something that waits.
+  /// Calls `visit(team, backlog)` for each team with waiting requests that is
+  /// not suspended.
   template <typename Visitor>
   void VisitTeams(Visitor visit) const;
 
-  /// Drain of this band and all more urgent ones together.
+  /// Drain rate of this band and all more urgent ones together.
   DrainRate drain;
-  /// Sizes accepted into this band.
+  /// Arrival rate of the sizes queued in this band.
   ArrivalRate arrivals;
-  /// Held by the tasks that were started from it.
+  /// Resources of the running tasks of this priority.
   Resources in_use;
 
  private:
--- a/packages/core/src/scheduler/rates.cc
+++ b/packages/core/src/scheduler/rates.cc
@@ -6,14 +6,14 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Time over which a sample's weight falls to 1/e.
+/// Time in which the weight of a sample decays to 1/e.
 constexpr double kDecaySeconds = 5.0;
-/// Least time that arrivals are taken to have come in, so that the first one
-/// does not look like an endless rate.
+/// Lower limit of the observation time, so that the first arrivals do not
+/// produce an excessive rate.
 constexpr double kMinArrivalAgeSeconds = 1.0;
-/// Least backlogged time that a drain rate is taken from.
+/// Backlogged time below which no drain rate is given.
 constexpr double kMinBacklogSeconds = 0.2;
-/// Age at which a drain rate says nothing of the present.
+/// Age above which a drain rate is outdated.
 constexpr double kMaxDrainAgeSeconds = 10.0;
 
 double Seconds(Duration duration) {
--- a/packages/core/src/scheduler/rates.h
+++ b/packages/core/src/scheduler/rates.h
@@ -7,7 +7,7 @@
 
 namespace mustardproxy::detail {
 
-/// Rate at which amounts arrive; recent ones weigh most.
+/// Arrival rate of amounts, with exponentially decaying weights.
 class ArrivalRate {
  public:
   void Add(Instant now, double amount);
@@ -19,16 +19,16 @@
   double weight = 0;
 };
 
-/// Rate at which a queue drains while it has something to drain.
+/// Rate at which a queue drains while it is backlogged.
 ///
-/// Time without a backlog does not count: placements then follow the arrivals
-/// and say nothing of how fast a backlog would go.
+/// Time without a backlog does not count, since placements then follow the
+/// arrivals and do not show how fast a backlog would drain.
 class DrainRate {
  public:
   /// @param placed amount placed since the last call
-  /// @param backlogged whether something still waits
+  /// @param backlogged whether requests are still waiting
   void Observe(Instant now, double placed, bool backlogged);
-  /// @return nothing unless a backlog was watched for long enough and lately
+  /// @return nothing unless a backlog was observed recently and for long enough
   [[nodiscard]] std::optional<double> PerSecond(Instant now) const;
 
  private:
--- a/packages/core/src/scheduler/request_queue.cc
+++ b/packages/core/src/scheduler/request_queue.cc
@@ -6,7 +6,8 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Stale nodes that are always tolerated, so that short heaps are left alone.
+/// Number of stale nodes that is always tolerated, so that short heaps are not
+/// rebuilt.
 constexpr std::size_t kToleratedStaleNodes = 64;
 
 bool ComesLater(const QueueNode& a, const QueueNode& b) {
@@ -52,10 +53,10 @@
 void DeadlineHeap::DropStaleTop(IsLive is_live) {
   std::size_t dropped = 0;
   while (!this->nodes.empty() && !is_live(this->nodes.front())) {
-    // Failure: callers give up in the order of their deadlines, 10,000 at once,
-    // and the next pass takes each node off the top by itself; an urgent
-    // request waits for milliseconds. Many stale nodes in a row mean a wave,
-    // and then one sweep takes out all of them.
+    // Failure: 10,000 callers cancel at once in the order of their deadlines,
+    // the next pass pops each stale node separately, and an urgent request
+    // waits for milliseconds. Many consecutive stale nodes indicate mass
+    // cancellation, so all of them are removed in one step.
     if (++dropped > kToleratedStaleNodes) return this->Compact(is_live);
     this->Pop();
   }
@@ -136,7 +137,8 @@
 
 std::optional<RequestSlot> RequestQueue::Head(FlowIndex flow) {
   DeadlineHeap& heap = this->flows[flow].heap;
-  // After a wave of cancellations one sweep is cheaper than popping each.
+  // After many cancellations, removing all stale nodes at once is cheaper than
+  // popping each.
   const auto is_live = [this](const QueueNode& node) {
     return this->IsLive(node);
   };
--- a/packages/core/src/scheduler/request_queue.h
+++ b/packages/core/src/scheduler/request_queue.h
@@ -12,41 +12,43 @@
 
 namespace mustardproxy::detail {
 
-/// Position of a request in the queue's table; reused once it has left.
+/// Index of a request in the queue's table; reused after the request is
+/// removed.
 using RequestSlot = std::uint32_t;
-/// Requests of one team for one service.
+/// Index of a flow: the queued requests of one team for one service.
 using FlowIndex = std::uint32_t;
 
-/// A request that waits.
+/// A queued request.
 struct QueueEntry {
   QueuedRequest request;
   FlowIndex flow = 0;
-  /// Its tasks' dominant share of the cell at arrival.
+  /// Dominant share of the cell that its tasks use, computed at arrival.
   double size = 0;
-  /// Differs for every request that ever waited; zero once it has left.
+  /// Unique among all requests ever queued; zero after removal.
   std::uint64_t sequence = 0;
 };
 
-/// A place in a heap. Stale once the slot holds another sequence.
+/// An element of a heap. Stale if its slot has another sequence.
 struct QueueNode {
   Instant placement_deadline;
   std::uint64_t sequence = 0;
   RequestSlot slot = 0;
 };
 
-/// Heap of waiting requests, the earliest `placement_deadline` first, arrival
-/// breaking ties. Requests that have left stay as stale nodes until they come
-/// up, or until they outnumber the others and are swept out together.
+/// Heap of queued requests, earliest `placement_deadline` first, ties broken by
+/// arrival. Removed requests stay as stale nodes until they reach the top, or
+/// until they outnumber the others and are all removed together.
 class DeadlineHeap {
  public:
   void Push(const QueueNode& node);
   void Pop();
   [[nodiscard]] const QueueNode* Top() const;
   [[nodiscard]] std::size_t Size() const { return this->nodes.size(); }
-  /// Sweeps stale nodes out if they outnumber `live`.
+  /// Removes all stale nodes if there are more of them than `live` plus a
+  /// constant.
   template <typename IsLive>
   void CompactIfMostlyStale(std::size_t live, IsLive is_live);
-  /// Takes stale nodes off the top until a live one is there.
+  /// Removes stale nodes from the top until a live one is there.
   template <typename IsLive>
   void DropStaleTop(IsLive is_live);
 
@@ -57,8 +59,8 @@
   std::vector<QueueNode> nodes;
 };
 
-/// Waiting requests: by request id, by flow in deadline order, and by
-/// deadline over all flows. Knows nothing of priorities and shares.
+/// Queued requests by request id, by flow in deadline order, and by deadline
+/// over all flows. Independent of priorities and shares.
 class RequestQueue {
  public:
   struct FlowQueue {
@@ -72,30 +74,30 @@
   [[nodiscard]] std::optional<RequestSlot> SlotOf(
       const RequestId& request) const;
   [[nodiscard]] FlowIndex FindOrAddFlow(ServiceIndex service, TeamIndex team);
-  /// The request must not be queued already.
+  /// Adds a request, which must not be queued yet.
   RequestSlot Add(QueuedRequest request, FlowIndex flow, double size);
-  /// @return the entry taken out, if the request was queued
-  /// @complexity constant; heap nodes go stale
+  /// @return the removed entry, if the request was queued
+  /// @complexity constant; heap nodes become stale
   std::optional<QueueEntry> Remove(const RequestId& request);
-  /// @return earliest `placement_deadline` of a flow
+  /// @return the request of a flow with the earliest `placement_deadline`
   [[nodiscard]] std::optional<RequestSlot> Head(FlowIndex flow);
-  /// Takes the head's node off the flow's heap for a while; `ReattachToFlow`
-  /// returns it. The request stays queued.
+  /// Removes the head's node from the heap of the flow temporarily;
+  /// `ReattachToFlow` adds it again. The request stays queued.
   void DetachHead(FlowIndex flow);
   void ReattachToFlow(RequestSlot slot);
   /// @return a request whose `placement_deadline` has passed; it stays queued
   [[nodiscard]] std::optional<RequestSlot> FirstExpired(Instant now);
-  /// Earliest `placement_deadline` of all; may name a request that has left
-  /// since.
+  /// Earliest `placement_deadline` of all requests; may belong to a request
+  /// that was removed since.
   [[nodiscard]] std::optional<Instant> NextDeadline() const;
   [[nodiscard]] const QueueEntry& At(RequestSlot slot) const;
-  /// @return requests of a team for a service that wait
+  /// @return number of queued requests of a team for a service
   [[nodiscard]] std::size_t LiveCount(ServiceIndex service,
                                       TeamIndex team) const;
   [[nodiscard]] const FlowQueue& FlowAt(FlowIndex flow) const;
   [[nodiscard]] std::size_t FlowCount() const { return this->flows.size(); }
   [[nodiscard]] std::size_t Size() const { return this->by_request.size(); }
-  /// Calls `visit(entry)` for each request that waits.
+  /// Calls `visit(entry)` for each queued request.
   template <typename Visitor>
   void Visit(Visitor visit) const;
 
@@ -104,8 +106,8 @@
   [[nodiscard]] RequestSlot AllocateSlot();
 
   std::vector<QueueEntry> entries;
-  /// Of each slot; zero while it is free_slots. Apart from the entries, since a
-  /// sweep looks at nothing else of them.
+  /// Sequence of each slot; zero while the slot is free. Stored apart from the
+  /// entries, since removing stale nodes reads nothing else of them.
   std::vector<std::uint64_t> sequences;
   std::vector<RequestSlot> free_slots;
   std::unordered_map<RequestId, RequestSlot> by_request;
--- a/packages/core/src/scheduler/run_times.cc
+++ b/packages/core/src/scheduler/run_times.cc
@@ -7,12 +7,13 @@
 namespace {
 
 constexpr double kBucketsPerOctave = 4.0;
-/// Samples after which all weights are halved.
+/// Number of samples at which all counts are halved.
 constexpr std::uint32_t kMaxSamples = 2048;
-/// While samples are few each one counts at once; later a batch does.
+/// Number of samples between updates of the quantiles; up to twice this number,
+/// each sample updates them.
 constexpr std::uint32_t kSamplesPerUpdate = 32;
-/// A task inside the last bucket of samples has about this part of its time
-/// left, half the width of a bucket.
+/// A task in the last non-empty bucket is expected to run for its elapsed time
+/// divided by this, about half the width of a bucket.
 constexpr std::int64_t kRemainingDivisor = 10;
 
 std::size_t BucketOf(Duration run, std::size_t buckets) {
@@ -22,7 +23,7 @@
   return std::min(bucket, buckets - 1);
 }
 
-/// @return geometric middle of a bucket
+/// @return geometric mean of a bucket's bounds
 Duration MiddleOf(std::size_t bucket) {
   const double octave = (static_cast<double>(bucket) + 0.5) / kBucketsPerOctave;
   return Duration(static_cast<Duration::rep>(std::exp2(octave)));
--- a/packages/core/src/scheduler/run_times.h
+++ b/packages/core/src/scheduler/run_times.h
@@ -10,7 +10,7 @@
 namespace mustardproxy::detail {
 
 /// Quantiles of a service's measured run times, in buckets of a quarter octave
-/// (19 % wide). Old samples lose weight, so that estimates follow a change.
+/// (19 % wide). Old samples lose weight, so that the estimates follow changes.
 class RunTimes {
  public:
   void Add(Duration run);
@@ -19,8 +19,8 @@
   [[nodiscard]] Duration Median() const { return this->median; }
   [[nodiscard]] Duration NinetiethPercentile() const { return this->p90; }
   [[nodiscard]] Duration Mean() const;
-  /// @return median of the time left to a task that has run for `elapsed`; as
-  ///   long again for one that has outlived every sample
+  /// @return median of the remaining time of a task that has run for `elapsed`;
+  ///   equal to `elapsed` if the task has outlived every sample
   [[nodiscard]] Duration Remaining(Duration elapsed) const;
 
  private:
--- a/packages/core/src/scheduler/running_tasks.cc
+++ b/packages/core/src/scheduler/running_tasks.cc
@@ -48,7 +48,7 @@
   double& sum = entry.priority == 0 ? this->urgent_release_rate
                                     : this->non_urgent_release_rate;
   sum = std::max(0.0, sum + sign * entry.release_per_second);
-  // Sums of floating point drift; with nothing running they are exactly zero.
+  // Floating-point sums drift, so they are reset to zero when nothing runs.
   if (!this->entries.empty()) return;
   this->urgent_release_rate = 0;
   this->non_urgent_release_rate = 0;
--- a/packages/core/src/scheduler/running_tasks.h
+++ b/packages/core/src/scheduler/running_tasks.h
@@ -13,10 +13,10 @@
 
 namespace mustardproxy::detail {
 
-/// Names a group of tasks that are stopped to make room for one urgent task.
+/// Identifies a group of tasks that are preempted for one urgent task.
 using PreemptionGroup = std::uint64_t;
 
-/// A placed task.
+/// A placed task that has not ended.
 struct RunningEntry {
   TaskId task;
   RequestId request;
@@ -25,46 +25,47 @@
   WorkerId worker;
   Resources resources;
   Instant started;
-  /// Dominant share of the cell that it frees per second of its expected run.
+  /// Dominant share of the cell that it releases per second of its expected run
+  /// time.
   double release_per_second = 0;
   std::int32_t priority = 0;
   bool preemptible = false;
   bool gang = false;
-  /// Set once it was named a victim.
+  /// Set when the task is selected as a victim.
   std::optional<PreemptionGroup> preemption_group;
 };
 
-/// Tasks that are placed and have not ended.
+/// Tasks that were placed and have not ended.
 class RunningTasks {
  public:
-  /// @return false if the task is known already
+  /// @return false if the task is known
   bool Add(RunningEntry entry);
   std::optional<RunningEntry> Remove(const TaskId& task);
   [[nodiscard]] const RunningEntry* Find(const TaskId& task) const;
   [[nodiscard]] std::size_t Size() const { return this->entries.size(); }
-  /// Dominant share of the cell that running tasks free per second, if they
+  /// Dominant share of the cell that running tasks release per second if they
   /// run as long as expected.
   [[nodiscard]] double ReleasePerSecond() const;
-  /// The same without urgent tasks (priority 0).
+  /// Like `ReleasePerSecond`, without urgent tasks (priority 0).
   [[nodiscard]] double NonUrgentReleasePerSecond() const;
-  /// Sum over tasks that may be stopped for urgent work, or are being stopped.
+  /// Sum over tasks that may be preempted or are being preempted.
   [[nodiscard]] const Resources& Preemptible() const;
-  /// @return when tasks are expected to end, in order of time
+  /// @return expected ends of the tasks, sorted by time
   /// @complexity n log n in the number of running tasks
   [[nodiscard]] std::vector<ExpectedRelease> ExpectedReleases(
       Instant now, const Catalog& catalog) const;
 
-  /// Calls `visit(entry)` for each task that may be stopped, cheapest loss
-  /// first, until it returns false: single tasks before parts of gangs, the
-  /// least urgent first, then the one started last.
+  /// Calls `visit(entry)` for each task that may be preempted, in order of
+  /// increasing cost, until it returns false: single tasks before tasks of
+  /// gangs, then the least urgent first, then the one started last.
   template <typename Visitor>
   void VisitVictims(Visitor visit) const;
   [[nodiscard]] PreemptionGroup NewPreemptionGroup() {
     return ++this->last_group;
   }
-  /// The task is no longer offered as a victim.
+  /// Excludes the task from `VisitVictims`.
   void MarkPreempted(const TaskId& task, PreemptionGroup group);
-  /// @return groups of which some task still runs
+  /// @return number of groups with a task that still runs
   [[nodiscard]] std::size_t ActivePreemptionGroups() const;
 
  private:
--- a/packages/core/src/scheduler/scheduler.cc
+++ b/packages/core/src/scheduler/scheduler.cc
@@ -34,7 +34,8 @@
     return {Error::kUnknownService, "service " + request.service.Text(),
             Duration(0)};
   }
-  // Only configured teams get an entry, or strangers could grow the table.
+  // Only configured teams get an entry; otherwise requests of unknown teams
+  // could grow the table without limit.
   if (!recovered && !this->state->catalog.FindTeam(request.team)) {
     return {Error::kUnknownTeam, "team " + request.team.Text(), Duration(0)};
   }
@@ -81,7 +82,7 @@
                             bool ran) {
   const auto entry = this->state->RemoveRunningTask(task, ledger);
   if (!entry) return;
-  // A task stopped to make room says nothing of how long its kind runs.
+  // The run time of a preempted task is not representative of its service.
   if (!ran || entry->preemption_group) return;
   this->state->catalog.ServiceAt(entry->service)
       .run_times.Add(std::max(now - entry->started, Duration(1)));
--- a/packages/core/src/scheduler/scheduler_state.cc
+++ b/packages/core/src/scheduler/scheduler_state.cc
@@ -7,7 +7,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Run time below which an expected release rate would say nothing.
+/// Lower limit of the run time for an expected release rate.
 constexpr Duration kMinRunTime = std::chrono::milliseconds(1);
 
 void AdjustCount(ProfileCount* counts, TeamIndex team, std::int64_t change) {
--- a/packages/core/src/scheduler/scheduler_state.h
+++ b/packages/core/src/scheduler/scheduler_state.h
@@ -17,14 +17,14 @@
 
 namespace mustardproxy::detail {
 
-/// Requests of one profile that wait, whole and by team.
+/// Number of queued requests of one profile, in total and by team.
 struct ProfileCount {
   std::int64_t all = 0;
   std::vector<std::int64_t> by_team;
 };
 
-/// All that the scheduler knows, with the steps that keep its parts in line.
-/// Decisions are taken in the modules beside it.
+/// State of the scheduler, with the operations that keep its parts consistent.
+/// Decisions are made in the other modules of this directory.
 struct SchedulerState {
   Catalog catalog;
   RequestQueue queue;
@@ -36,29 +36,30 @@
   GangReservation reservation;
   /// See `SchedulerOptions`.
   double guaranteed_share = 0;
-  /// Of all owned workers, when last looked at.
+  /// Total capacity of all owned workers when last read from the ledger.
   Resources total_capacity;
-  /// The last pass ended at its limit, with more to be placed.
+  /// Time of the last pass if it stopped at its limit with more to place.
   std::optional<Instant> limit_reached_at;
-  /// Something waits only because of the headroom.
+  /// A request is waiting only because of the headroom.
   bool blocked_by_headroom = false;
 
-  /// Follows a change of the owned workers.
+  /// Updates the total capacity after a change of the owned workers.
   void UpdateCapacity(const Ledger& ledger);
-  /// Files all waiting requests anew, since priorities may have changed.
+  /// Rebuilds the bands from the queued requests, since priorities may have
+  /// changed.
   void RebuildBands();
   [[nodiscard]] double WeightedShareOf(TeamIndex team) const;
   [[nodiscard]] double DominantShareOf(const Resources& resources) const;
   [[nodiscard]] PriorityBand& BandOf(ServiceIndex service);
-  /// @return true if a band's tasks hold less than what is guaranteed to it
+  /// @return true if a band's tasks hold less than its guaranteed share
   [[nodiscard]] bool BelowGuarantee(const PriorityBand& band) const;
 
   void AddRequest(Instant now, QueuedRequest request, ServiceIndex service,
                   TeamIndex team);
-  /// @return the entry, if the request was queued
+  /// @return the removed entry, if the request was queued
   std::optional<QueueEntry> RemoveRequest(const RequestId& request);
   void AddRunningTask(RunningEntry entry);
-  /// Frees the task in the ledger and all counts.
+  /// Removes a task, releases it in the ledger and updates all counts.
   std::optional<RunningEntry> RemoveRunningTask(const TaskId& task,
                                                 Ledger* ledger);
 
--- a/packages/core/src/scheduler/victim_search.cc
+++ b/packages/core/src/scheduler/victim_search.cc
@@ -10,18 +10,18 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Urgent tasks that one call makes room for, and running tasks it looks at
-/// for each, so that its time is bounded.
+/// Bounds on the time of one call: urgent tasks for which it selects victims,
+/// and running tasks examined for each.
 constexpr std::int64_t kMaxTasksPerCall = 64;
 constexpr int kMaxCandidatesPerTask = 256;
 
-/// Urgent tasks of one size that wait.
+/// Waiting urgent tasks of one size.
 struct UrgentDemand {
   Resources task;
   std::int64_t tasks = 0;
 };
 
-/// Tasks on one worker that would be stopped, and what is free with them gone.
+/// Candidate victims on one worker, and the capacity free there without them.
 struct WorkerVictims {
   Resources room;
   std::vector<const RunningEntry*> victims;
@@ -47,7 +47,7 @@
   return needs;
 }
 
-/// Leaves out victims without which the task fits as well.
+/// Removes victims that need not be stopped for the task to fit.
 void RemoveUnneededVictims(const Resources& task,
                            WorkerVictims* worker_victims) {
   std::erase_if(worker_victims->victims, [&](const RunningEntry* victim) {
@@ -82,7 +82,8 @@
   return chosen;
 }
 
-/// A gang that loses one task is worth nothing, so all of it goes.
+/// Returns the tasks to stop for a victim: all tasks of a gang, since a gang
+/// cannot continue without one of them.
 std::vector<TaskId> TasksToStop(const RunningEntry& victim,
                                 const SchedulerState& state) {
   if (!victim.gang) return {victim.task};
--- a/packages/core/src/scheduler/victim_search.h
+++ b/packages/core/src/scheduler/victim_search.h
@@ -9,8 +9,9 @@
 
 namespace mustardproxy::detail {
 
-/// See `Scheduler::ChooseVictims`. Chosen tasks are marked as stopping; room
-/// already pending by earlier ones is not asked for again.
+/// See `Scheduler::ChooseVictims`. Marks the selected tasks as preempted.
+/// Urgent tasks for which earlier calls selected victims that are still running
+/// are not counted again.
 [[nodiscard]] std::vector<Preemption> SearchVictims(const Ledger& ledger,
                                                     SchedulerState* state);
 
--- a/packages/core/src/scheduler/wait_forecast.cc
+++ b/packages/core/src/scheduler/wait_forecast.cc
@@ -8,9 +8,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Waits are cut off here; nothing allows a longer one.
+/// Upper limit of a predicted wait; no setting allows a longer one.
 constexpr double kMaxWaitSeconds = 30.0 * 24 * 3600;
-/// Part of the drain that is always left to less urgent work in a forecast.
+/// Fraction of the drain rate that a forecast always leaves to less urgent
+/// work.
 constexpr double kMinDrainFraction = 0.05;
 
 Duration FromSeconds(double seconds) {
@@ -19,9 +20,9 @@
       std::chrono::duration<double>(bounded));
 }
 
-/// @return what waits in a band and is placed before a request of `size` of
-///   `team`: all of the team's own, and of each other team as much as fair
-///   share gives it in the meantime
+/// @return backlog of a band that is placed before a request of `size` of
+///   `team`: all of the team's own, and of each other team the amount that fair
+///   sharing gives it in the same time
 double BacklogAhead(const SchedulerState& state, const PriorityBand& band,
                     double size, std::optional<TeamIndex> team) {
   if (!team) return band.Backlog();
@@ -36,8 +37,8 @@
   return ahead;
 }
 
-/// @return share of the cell that a request could take now, for urgent work
-///   with what may be stopped for it
+/// @return share of the cell that a request could use now; for urgent work
+///   including the tasks that may be preempted
 double AvailableShare(const SchedulerState& state, const Ledger& ledger,
                       const ServiceEntry& service) {
   Resources free = ledger.TotalFree();
@@ -56,7 +57,7 @@
   return room * state.DominantShareOf(service.resources);
 }
 
-/// @return share of the cell per second that goes to one priority
+/// @return share of the cell per second that is available to one priority
 double DrainRateFor(Instant now, const SchedulerState& state,
                     std::int32_t priority) {
   double more_urgent = 0;
@@ -85,7 +86,8 @@
                  : BacklogAhead(state, band, size, team);
   }
   const double missing = ahead + size - AvailableShare(state, ledger, entry);
-  // Sizes are sums of fractions: a difference of rounding is no wait.
+  // Sizes are sums of fractions, so a difference within rounding error is not a
+  // wait.
   if (missing <= size * 1e-9) return Duration(0);
   const double drain = DrainRateFor(now, state, entry.profile.priority);
   if (drain <= 0) return Duration(0);
--- a/packages/core/src/scheduler/wait_forecast.h
+++ b/packages/core/src/scheduler/wait_forecast.h
@@ -8,19 +8,19 @@
 
 namespace mustardproxy::detail {
 
-/// Wait that a new request would meet: what is ahead of it, less what is free,
-/// over the measured drain rate. All amounts are dominant shares of the cell,
-/// so that requests of unlike sizes can be added.
-/// @param team its fair share shortens the wait; without one it is taken to
-///   come after everything that waits
-/// @return zero if nothing is known that would make it wait
+/// Predicts the wait of a new request: the work ahead of it, less the free
+/// capacity, divided by the measured drain rate. All amounts are dominant
+/// shares of the cell, so that requests of different sizes can be added.
+/// @param team its fair share shortens the wait; without a team the request is
+///   assumed to come after all waiting requests
+/// @return zero if nothing indicates a wait
 [[nodiscard]] Duration ForecastWait(Instant now, const SchedulerState& state,
                                     const Ledger& ledger, ServiceIndex service,
                                     std::optional<TeamIndex> team);
-/// Wait that the team's own quota imposes.
+/// Predicts the wait imposed by the team's quota.
 [[nodiscard]] Duration ForecastQuotaWait(const SchedulerState& state,
                                          ServiceIndex service, TeamIndex team);
-/// Time in which everything that waits would drain.
+/// Predicts the time in which all waiting requests drain.
 [[nodiscard]] Duration ForecastDrain(Instant now, const SchedulerState& state);
 
 }  // namespace mustardproxy::detail
