--- a/packages/core/tests/ledger_basic_test.cc
+++ b/packages/core/tests/ledger_basic_test.cc
@@ -55,9 +55,9 @@
   BOOST_TEST((ledger.FreeOn(WorkerId("w")) == kCapacity - kTask - kTask));
 }
 
-// A start is on its way while the worker answers a renewal. The report does
-// not name the task yet. If the reservation were dropped, the room would be
-// given away twice.
+// Failure: capacity is allocated twice because a renewal report removes the
+// reservation of a task whose start is still in flight and which the report
+// does not contain yet.
 BOOST_AUTO_TEST_CASE(reconcile_never_drops_a_reservation) {
   Ledger ledger;
   ledger.AddWorker(Worker("w"), Report("w"));
--- a/packages/core/tests/ledger_random_test.cc
+++ b/packages/core/tests/ledger_random_test.cc
@@ -17,7 +17,7 @@
 constexpr int kManyWorkers = 400;
 constexpr int kSteps = 30000;
 
-/// The ledger's promises worked out the slow way.
+/// Reference model of the ledger without indexes.
 struct Model {
   struct Entry {
     Resources used;
@@ -88,7 +88,8 @@
     this->model.workers.erase(worker);
     this->removed.insert(worker);
   }
-  /// All at once, so that the workers' number falls and rises far.
+  /// Adds all removed workers at once, so that the number of workers varies
+  /// widely.
   void AddRemovedWorkers() {
     if (this->removed.size() < kMaxRemoved) return;
     for (const WorkerId& worker : std::set<WorkerId>(this->removed)) {
@@ -138,9 +139,9 @@
 
 BOOST_AUTO_TEST_SUITE(ledger_random)
 
-// A user sees a task refused by its worker, or left waiting beside free room.
-// Tasks come and go, workers are ejected and reopened, in any order. The cause
-// would be an index that drifts from the entries it was built from.
+// Failure: a task is rejected by its worker or waits although a worker has
+// capacity, because an index diverges from the entries it is built from. Tasks
+// start and end and workers are ejected, removed and added in random order.
 BOOST_AUTO_TEST_CASE(the_indexes_agree_with_a_scan_at_every_step) {
   constexpr std::uint64_t kSeed = 20260101;
   BOOST_TEST_MESSAGE("seed " << kSeed);
--- a/packages/core/tests/scheduler_admission_test.cc
+++ b/packages/core/tests/scheduler_admission_test.cc
@@ -57,9 +57,10 @@
   BOOST_TEST(this->Enqueue("q", "task", "x").refusal == Error::kUnknownTeam);
 }
 
-// A caller is told to wait and then gives up anyway. The cell is full of tasks
-// of one second, and more are queued than go in the five seconds allowed. The
-// refusal must come on arrival and say when to come back.
+// Failure: a request is queued although its wait exceeds the limit, and its
+// caller gives up after waiting. The cell is full of 1 s tasks, and more
+// requests arrive than can start within the allowed 5 s. The request must be
+// refused on arrival with a retry delay.
 BOOST_AUTO_TEST_CASE(a_wait_that_is_too_long_is_refused_on_arrival) {
   int accepted = 0;
   Admission refused;
@@ -69,7 +70,7 @@
     if (!refused.refusal) ++accepted;
   }
   BOOST_TEST(refused.refusal == Error::kWaitTooLong);
-  // 16 run and 16 start per second.
+  // 16 tasks run at a time, and 16 start per second.
   BOOST_TEST(accepted >= 16 + 5 * 16 - 2);
   BOOST_TEST(accepted <= 16 + 5 * 16 + 2);
   BOOST_TEST((refused.retry_after >= std::chrono::seconds(1)));
@@ -79,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(the_forecast_follows_the_measured_drain) {
   this->EnqueueMany("q", 90, "task");
   std::vector<Placement> running = this->Schedule();
-  // Tasks were declared to take 1 s and take 100 ms.
+  // The declared run time is 1 s; the measured one is 100 ms.
   for (int round = 0; round < 4; ++round) {
     this->now += std::chrono::milliseconds(100);
     for (const Placement& placed : running) this->EndTask(placed.task);
--- a/packages/core/tests/scheduler_basic_test.cc
+++ b/packages/core/tests/scheduler_basic_test.cc
@@ -12,7 +12,7 @@
 constexpr Resources kTask{2000, 4000, 0, 1};
 const Instant kStart{std::chrono::seconds(100)};
 
-// Built by append: GCC 12 warns wrongly about `"x" + std::to_string(i)`.
+// Uses append: GCC 12 reports a false positive for `"x" + std::to_string(i)`.
 std::string Numbered(const char* prefix, int number) {
   return std::string(prefix).append(std::to_string(number));
 }
--- a/packages/core/tests/scheduler_fair_share_test.cc
+++ b/packages/core/tests/scheduler_fair_share_test.cc
@@ -30,9 +30,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_fair_share, Cell)
 
-// A small team's request waits for minutes behind a large customer's backlog.
-// The large team has queued hundreds of requests first; the small team's single
-// request comes last. The cause would be one queue in order of arrival.
+// Failure: the request of a small team waits for minutes behind the backlog of
+// a large customer, because all teams share one queue in order of arrival. The
+// large team has queued hundreds of requests before the small team's only one.
 BOOST_AUTO_TEST_CASE(a_small_team_goes_before_a_large_backlog) {
   this->EnqueueMany("a", 500, "task", "a");
   BOOST_TEST(this->Schedule().size() == 32);
@@ -55,7 +55,7 @@
   this->EnqueueMany("a", 100, "heavy", "a");
   this->EnqueueMany("b", 100, "task", "b");
   const auto counts = this->CountByTeam(this->Schedule());
-  // 4000 MB of 32000 weigh as much as 4 slots of 32.
+  // 4000 MB of 32000 MB are the same share as 4 slots of 32.
   BOOST_TEST(counts.at('b') >= 3 * counts.at('a'));
 }
 
--- a/packages/core/tests/scheduler_gang_test.cc
+++ b/packages/core/tests/scheduler_gang_test.cc
@@ -29,10 +29,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_gang, Cell)
 
-// A gang never starts although the cell turns over all the time. Small tasks
-// of 16 s end one by one and new ones arrive at once. The cause would be that
-// each gap goes to the next small task before the gang's room has come
-// together.
+// Failure: a gang starves while tasks keep ending, because each gap goes to the
+// next small task before enough capacity for the gang is free. Small tasks of
+// 16 s end one by one, and new ones arrive immediately.
 BOOST_AUTO_TEST_CASE(small_tasks_do_not_starve_a_gang) {
   constexpr int kRunSeconds = 16;
   constexpr int kGangArrives = 40;
@@ -52,7 +51,8 @@
     }
     if (gang_started != 0) break;
   }
-  // Twelve tasks must end, one in a second; estimates are in steps of 19 %.
+  // Twelve tasks must end, one per second; run time estimates have a resolution
+  // of 19 %.
   BOOST_TEST(gang_started >= kGangArrives + 11);
   BOOST_TEST(gang_started <= kGangArrives + 16);
 }
--- a/packages/core/tests/scheduler_guarantee_test.cc
+++ b/packages/core/tests/scheduler_guarantee_test.cc
@@ -12,7 +12,7 @@
 using test::kSmallTask;
 using test::TestCell;
 
-/// 32 slots; less than 5 of them are 15 %.
+/// 32 slots; the guaranteed share of 15 % is just under 5 of them.
 struct Cell : TestCell {
   Cell() : TestCell(4) {
     this->AddProfile("urgent", 0);
@@ -25,7 +25,7 @@
     this->AddTeam("a");
     this->Configure();
   }
-  /// @return how many placements are of requests whose id begins so
+  /// @return number of placements of requests whose id starts with `prefix`
   static std::int64_t CountOf(const std::vector<Placement>& placements,
                               const std::string& prefix) {
     return std::ranges::count_if(placements, [&](const Placement& placed) {
@@ -36,10 +36,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_guarantee, Cell)
 
-// A batch is accepted and never starts, for as long as the day is busy.
-// Standard requests arrive faster than the cell can run them, and the batch
-// waits behind. The cause would be that the lower priority gets only leftovers,
-// and there are none.
+// Failure: deferred requests are accepted but never start, because standard
+// requests arrive faster than the cell can run them and the lower priority gets
+// only unused capacity.
 BOOST_AUTO_TEST_CASE(deferred_work_gets_its_share_beside_standard_work) {
   this->EnqueueMany("s", 500, "review");
   this->EnqueueMany("d", 100, "rota");
@@ -75,11 +74,10 @@
   BOOST_TEST(this->Schedule().size() == 32);
 }
 
-// A deferred gang never starts, and single deferred tasks wait behind it. It
-// holds the reservation, but each slot that comes free goes to a standard
-// request before room for four has come together. The cause would be that
-// standard work outranks the reservation although the gang's priority has less
-// than its share.
+// Failure: a deferred gang that holds the reservation never starts, and single
+// deferred tasks wait behind it, because standard work outranks the reservation
+// although the gang's priority is below its guaranteed share. Each released
+// slot then goes to a standard request before four slots are free.
 BOOST_AUTO_TEST_CASE(
     a_gang_below_its_share_reserves_capacity_against_standard_work) {
   this->EnqueueMany("s", 500, "review");
--- a/packages/core/tests/scheduler_queue_test.cc
+++ b/packages/core/tests/scheduler_queue_test.cc
@@ -37,10 +37,10 @@
   BOOST_TEST(placed[4].request == RequestId("q4999"));
 }
 
-// An urgent request waits for milliseconds after callers gave up by thousands.
-// They give up in the order of their deadlines, so every node at the top of the
-// queue is stale. The cause is taking off each by itself; taking out all of
-// them at once must keep the order and the deadlines of the rest.
+// Failure: after thousands of cancellations, an urgent request waits for
+// milliseconds. Callers cancel in the order of their deadlines, so all nodes at
+// the top of the heap are stale and are popped separately. Removing them all at
+// once must keep the order and the deadlines of the other requests.
 BOOST_AUTO_TEST_CASE(many_cancellations_in_deadline_order_keep_the_order) {
   for (int i = 0; i < 1000; ++i) {
     (void)this->Enqueue(Numbered("q", i), "one", "a",
--- a/packages/core/tests/scheduler_random_test.cc
+++ b/packages/core/tests/scheduler_random_test.cc
@@ -17,8 +17,8 @@
 constexpr int kSteps = 20000;
 constexpr std::int32_t kGangTasks = 5;
 
-/// Random requests, ends, cancellations, stops and changes of workers, with the
-/// promises checked after each step.
+/// Random requests, task ends, cancellations, preemptions and worker changes;
+/// the invariants are checked after each step.
 struct RandomWorkload : TestCell {
   explicit RandomWorkload(std::uint64_t seed) : TestCell(6), random(seed) {
     this->AddProfile("urgent", 0);
@@ -125,8 +125,8 @@
     RandomWorkload workload(seed);
     for (int i = 0; i < kSteps; ++i) workload.Step();
     BOOST_TEST(workload.placed.size() > 1000);
-    // Everything that runs ends, and what is queued is given up: nothing may be
-    // left counted.
+    // After all running tasks have ended and all queued requests have expired,
+    // no resources may remain allocated.
     while (!workload.running.empty()) workload.EndOne();
     workload.now += std::chrono::minutes(2);
     (void)workload.scheduler.Expire(workload.now);
--- a/packages/core/tests/scheduler_test_cell.h
+++ b/packages/core/tests/scheduler_test_cell.h
@@ -9,13 +9,13 @@
 
 namespace mustardproxy::test {
 
-// Built by append: GCC 12 warns wrongly about `"x" + std::to_string(i)`.
+// Uses append: GCC 12 reports a false positive for `"x" + std::to_string(i)`.
 inline std::string Numbered(const char* prefix, int number) {
   return std::string(prefix).append(std::to_string(number));
 }
 
-/// A scheduler and ledger with workers of 8 slots, 8000 cpu_milli and 8000 MB,
-/// on a clock that tests move by hand.
+/// A scheduler and a ledger with workers of 8 slots, 8000 cpu_milli and 8000
+/// MB, and a clock that is advanced by the tests.
 class TestCell {
  public:
   explicit TestCell(int workers) {
--- a/packages/core/tests/scheduler_urgent_test.cc
+++ b/packages/core/tests/scheduler_urgent_test.cc
@@ -24,7 +24,7 @@
     this->AddTeam("a");
     this->Configure();
   }
-  /// Urgent tasks of one second, four per second, for half a minute.
+  /// Runs urgent tasks of 1 s, four per second, for 30 s.
   void RunUrgent() {
     for (int i = 0; i < 120; ++i) {
       this->now += std::chrono::milliseconds(250);
@@ -40,9 +40,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_urgent, Cell)
 
-// An applicant at the desk waits for minutes: deferred tasks of five minutes
-// have taken every slot in a quiet second. Urgent requests came steadily
-// before, and come again. The cause would be that nothing is kept free.
+// Failure: urgent requests wait for minutes because no capacity is kept free
+// and deferred tasks of 5 minutes take every slot during a short gap between
+// urgent requests. Urgent requests arrived steadily before, and arrive again.
 BOOST_AUTO_TEST_CASE(deferred_work_leaves_headroom_for_urgent_arrivals) {
   this->RunUrgent();
   this->EnqueueMany("r", 100, "rota");
