--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -227,7 +227,7 @@
   this->StopTasks(work, true);
 }
 
-void DeferredFlow::OnGivenUp(const RequestId& request) {
+void DeferredFlow::OnExpired(const RequestId& request) {
   DeferredWork* work = this->Get(request);
   if (work != nullptr && work->phase == DeferredPhase::kQueued) {
     this->Park(work, kParkDelay);
--- a/packages/core/src/lifecycle/deferred_flow.h
+++ b/packages/core/src/lifecycle/deferred_flow.h
@@ -85,7 +85,7 @@
   void OnTaskUpdate(const TaskUpdate& update);
   void OnPreempted(const Preemption& preemption);
   /// The scheduler gave up on it, which must not lose it.
-  void OnGivenUp(const RequestId& request);
+  void OnExpired(const RequestId& request);
   /// @return false if this process has no such unfinished work
   [[nodiscard]] bool Cancel(const RequestId& request, std::uint64_t query);
   /// The question was answered otherwise.
--- a/packages/core/src/lifecycle/orphan_gangs.cc
+++ b/packages/core/src/lifecycle/orphan_gangs.cc
@@ -20,16 +20,17 @@
                                 const ServiceId& service) {
   const auto terms = TermsOf(this->parts->context.configuration, service);
   const bool candidate = terms && terms->tasks > 1 && terms->idempotent &&
-                         !terms->deferred && !this->asking.contains(request) &&
+                         !terms->deferred &&
+                         !this->peers_to_query.contains(request) &&
                          this->parts->table.Find(request) == nullptr;
   if (!candidate) {
     return;
   }
-  this->AskAll(request);
+  this->QueryPeers(request);
 }
 
-void OrphanGangs::AskAll(const RequestId& request) {
-  std::vector<ProcessId>& peers = this->asking[request];
+void OrphanGangs::QueryPeers(const RequestId& request) {
+  std::vector<ProcessId>& peers = this->peers_to_query[request];
   peers.clear();
   for (const auto* group :
        {&this->parts->local_peers, &this->parts->remote_peers}) {
@@ -39,11 +40,11 @@
       }
     }
   }
-  this->AskNext(request);
+  this->QueryNextPeer(request);
 }
 
-void OrphanGangs::AskNext(const RequestId& request) {
-  std::vector<ProcessId>& peers = this->asking.at(request);
+void OrphanGangs::QueryNextPeer(const RequestId& request) {
+  std::vector<ProcessId>& peers = this->peers_to_query.at(request);
   if (peers.empty()) {
     this->retries.Set(request, this->parts->context.now);
     return;
@@ -53,17 +54,17 @@
   ask.peer = peers.back();
   ask.request = request;
   peers.pop_back();
-  this->questions[ask.query] = request;
+  this->pending_queries[ask.query] = request;
   this->parts->context.Emit(std::move(ask));
 }
 
 bool OrphanGangs::OnQueryAnswered(const QueryAnswered& event) {
-  const auto found = this->questions.find(event.query);
-  if (found == this->questions.end()) {
+  const auto found = this->pending_queries.find(event.query);
+  if (found == this->pending_queries.end()) {
     return false;
   }
   const RequestId request = found->second;
-  this->questions.erase(found);
+  this->pending_queries.erase(found);
   if (event.status) {
     // Somebody follows it, and stops it if it is not whole. Failure: that was
     // only the process that had forwarded it, or it dies or loses the workers,
@@ -71,10 +72,10 @@
     // hold its worker until its time limit, so the peers are asked again.
     Duration& delay = this->poll_delays[request];
     delay = std::clamp(2 * delay, kInitialPollDelay, kMaxPollDelay);
-    this->followed.Set(request, this->parts->context.now + delay);
+    this->next_queries.Set(request, this->parts->context.now + delay);
     return true;
   }
-  this->AskNext(request);
+  this->QueryNextPeer(request);
   return true;
 }
 
@@ -88,9 +89,9 @@
     this->parts->workers.StopOrphansOf(request);
     this->retries.Set(request, now + kStopRetryInterval);
   }
-  for (const RequestId& request : this->followed.TakeDue(now)) {
+  for (const RequestId& request : this->next_queries.TakeDue(now)) {
     if (this->parts->workers.RunsOrphanOf(request)) {
-      this->AskAll(request);
+      this->QueryPeers(request);
     } else {
       this->Forget(request);
     }
@@ -98,7 +99,7 @@
 }
 
 void OrphanGangs::Forget(const RequestId& request) {
-  this->asking.erase(request);
+  this->peers_to_query.erase(request);
   this->poll_delays.erase(request);
 }
 
--- a/packages/core/src/lifecycle/orphan_gangs.h
+++ b/packages/core/src/lifecycle/orphan_gangs.h
@@ -31,22 +31,22 @@
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
   void Tick();
   [[nodiscard]] Instant NextWakeup() const {
-    return std::min(this->retries.Next(), this->followed.Next());
+    return std::min(this->retries.Next(), this->next_queries.Next());
   }
 
  private:
-  void AskAll(const RequestId& request);
-  void AskNext(const RequestId& request);
+  void QueryPeers(const RequestId& request);
+  void QueryNextPeer(const RequestId& request);
   void Forget(const RequestId& request);
 
   Parts* parts;
   /// Peers still to be asked whether they follow the request.
-  std::map<RequestId, std::vector<ProcessId>> asking;
-  std::map<std::uint64_t, RequestId> questions;
+  std::map<RequestId, std::vector<ProcessId>> peers_to_query;
+  std::map<std::uint64_t, RequestId> pending_queries;
   TimerQueue<RequestId> retries;
   /// When a gang that a peer says it follows is asked about again, and the
   /// pause until then.
-  TimerQueue<RequestId> followed;
+  TimerQueue<RequestId> next_queries;
   std::map<RequestId, Duration> poll_delays;
 };
 
--- a/packages/core/src/lifecycle/peer_consent.cc
+++ b/packages/core/src/lifecycle/peer_consent.cc
@@ -7,11 +7,11 @@
 
 namespace mustardproxy::detail {
 
-void PeerConsent::Ask(const RequestId& request) {
+void PeerConsent::QueryPeers(const RequestId& request) {
   Inquiry& inquiry = this->inquiries[request];
   for (const ProcessId& peer : this->parts->local_peers) {
     const bool done = inquiry.consented.contains(peer);
-    if (done || !inquiry.asked.insert(peer).second) {
+    if (done || !inquiry.queried.insert(peer).second) {
       continue;
     }
     AskPeer ask;
@@ -19,12 +19,12 @@
     ask.peer = peer;
     ask.request = request;
     ask.stop_orphans = true;
-    this->questions[ask.query] = Question{request, peer};
+    this->pending_queries[ask.query] = PendingQuery{request, peer};
     this->parts->context.Emit(std::move(ask));
   }
 }
 
-Instant PeerConsent::Since(const RequestId& request) const {
+Instant PeerConsent::LastConsentAt(const RequestId& request) const {
   Instant since;
   const auto found = this->inquiries.find(request);
   for (const ProcessId& peer : this->parts->local_peers) {
@@ -42,22 +42,22 @@
 }
 
 bool PeerConsent::OnQueryAnswered(const QueryAnswered& event) {
-  const auto found = this->questions.find(event.query);
-  if (found == this->questions.end()) {
+  const auto found = this->pending_queries.find(event.query);
+  if (found == this->pending_queries.end()) {
     return false;
   }
-  const Question question = std::move(found->second);
-  this->questions.erase(found);
-  const auto inquiry = this->inquiries.find(question.request);
+  const PendingQuery query = std::move(found->second);
+  this->pending_queries.erase(found);
+  const auto inquiry = this->inquiries.find(query.request);
   if (inquiry == this->inquiries.end()) {
     return true;
   }
-  inquiry->second.asked.erase(question.peer);
+  inquiry->second.queried.erase(query.peer);
   // An empty answer may also mean that the peer could not be asked.
   const bool nothing_left = event.status && !event.status->ran &&
                             event.status->state == DeferredState::kUnknown;
   if (nothing_left) {
-    inquiry->second.consented[question.peer] = this->parts->context.now;
+    inquiry->second.consented[query.peer] = this->parts->context.now;
   }
   return true;
 }
--- a/packages/core/src/lifecycle/peer_consent.h
+++ b/packages/core/src/lifecycle/peer_consent.h
@@ -26,10 +26,10 @@
   explicit PeerConsent(Parts* parts) : parts(parts) {}
 
   /// Asks the peers that have not consented yet.
-  void Ask(const RequestId& request);
+  void QueryPeers(const RequestId& request);
   /// @return when the last peer said that nothing of the request runs at its
   ///   workers; `Instant::max()` while one has not
-  [[nodiscard]] Instant Since(const RequestId& request) const;
+  [[nodiscard]] Instant LastConsentAt(const RequestId& request) const;
   void Forget(const RequestId& request);
   /// @return true if the answer was to a question that this part asked
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
@@ -37,16 +37,16 @@
  private:
   struct Inquiry {
     std::map<ProcessId, Instant> consented;
-    std::set<ProcessId> asked;
+    std::set<ProcessId> queried;
   };
-  struct Question {
+  struct PendingQuery {
     RequestId request;
     ProcessId peer;
   };
 
   Parts* parts;
   std::map<RequestId, Inquiry> inquiries;
-  std::map<std::uint64_t, Question> questions;
+  std::map<std::uint64_t, PendingQuery> pending_queries;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -67,9 +67,9 @@
   for (const RequestId& request :
        this->parts->scheduler.Expire(this->parts->context.now)) {
     if (this->parts->deferred.Find(request) != nullptr) {
-      this->parts->deferred.OnGivenUp(request);
+      this->parts->deferred.OnExpired(request);
     } else {
-      this->parts->requests.OnGivenUp(request);
+      this->parts->requests.OnExpired(request);
     }
   }
 }
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -13,7 +13,7 @@
 /// far.
 constexpr Duration kCancelTimeout = std::chrono::seconds(5);
 /// Peers that are asked about one unknown request.
-constexpr std::size_t kMaxPeersAsked = 8;
+constexpr std::size_t kMaxPeersQueried = 8;
 
 }  // namespace
 
@@ -30,17 +30,17 @@
   next.request = event.request;
   next.cancel = event.cancel;
   next.from_peer = event.from_peer;
-  next.peers_left = this->PeersToAsk(event.request, event.from_peer);
-  this->AskNext(std::move(next));
+  next.peers_left = this->PeersToQuery(event.request, event.from_peer);
+  this->QueryNextPeer(std::move(next));
 }
 
 void QueryFlow::StopOrphans(const QueryArrived& event) {
   this->parts->workers.StopOrphansOf(event.request);
-  const bool followed = this->StatusHere(event.request).has_value();
+  const bool tracked = this->StatusHere(event.request).has_value();
   DeferredStatus status;
   status.id = event.request;
-  status.state = followed ? DeferredState::kRunning : DeferredState::kUnknown;
-  status.ran = followed || this->parts->workers.RunsOrphanOf(event.request);
+  status.state = tracked ? DeferredState::kRunning : DeferredState::kUnknown;
+  status.ran = tracked || this->parts->workers.RunsOrphanOf(event.request);
   this->Answer(event.query, std::move(status));
 }
 
@@ -123,13 +123,13 @@
   this->Answer(query, std::move(status));
 }
 
-std::vector<ProcessId> QueryFlow::PeersToAsk(const RequestId& request,
-                                             bool from_peer) const {
+std::vector<ProcessId> QueryFlow::PeersToQuery(const RequestId& request,
+                                               bool from_peer) const {
   std::vector<ProcessId> peers;
   const auto add = [&](const ProcessId& peer) {
     const bool known = std::ranges::find(peers, peer) != peers.end();
     if (!known && peer != this->parts->context.Self() &&
-        peers.size() < kMaxPeersAsked) {
+        peers.size() < kMaxPeersQueried) {
       peers.push_back(peer);
     }
   };
@@ -158,7 +158,7 @@
   return peers;
 }
 
-void QueryFlow::AskNext(RelayedQuery next) {
+void QueryFlow::QueryNextPeer(RelayedQuery next) {
   if (next.peers_left.empty()) {
     // Failure: the journal was adopted here while the peers were asked, and
     // only the state is looked up again. The caller reads "finished" with an
@@ -197,7 +197,7 @@
     this->Answer(next.query, event.status);
     return;
   }
-  this->AskNext(std::move(next));
+  this->QueryNextPeer(std::move(next));
 }
 
 void QueryFlow::Answer(std::uint64_t query,
--- a/packages/core/src/lifecycle/query_flow.h
+++ b/packages/core/src/lifecycle/query_flow.h
@@ -49,9 +49,9 @@
   /// What stood in a journal that this process has given up.
   [[nodiscard]] std::optional<DeferredStatus> LastKnown(
       const RequestId& request) const;
-  [[nodiscard]] std::vector<ProcessId> PeersToAsk(const RequestId& request,
-                                                  bool from_peer) const;
-  void AskNext(RelayedQuery query);
+  [[nodiscard]] std::vector<ProcessId> PeersToQuery(const RequestId& request,
+                                                    bool from_peer) const;
+  void QueryNextPeer(RelayedQuery query);
   void Answer(std::uint64_t query, std::optional<DeferredStatus> status);
 
   Parts* parts;
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -159,7 +159,7 @@
   }
 }
 
-void RequestFlow::OnGivenUp(const RequestId& request) {
+void RequestFlow::OnExpired(const RequestId& request) {
   ActiveRequest* entry = this->parts->table.Find(request);
   if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
     return;
@@ -237,7 +237,7 @@
       return;
     case RequestPhase::kQueued:
       this->parts->scheduler.Cancel(request);
-      this->OnGivenUp(request);
+      this->OnExpired(request);
       return;
     case RequestPhase::kRunning:
       this->StopTasks(entry);
@@ -275,9 +275,9 @@
 void RequestFlow::ForwardWaiting() {
   const Instant now = this->parts->context.now;
   std::deque<RequestId>& queued = this->parts->table.queued;
-  std::size_t looked = 0;
+  std::size_t examined = 0;
   std::size_t left = queued.size();
-  for (; left > 0 && looked < kForwardsPerRound; --left) {
+  for (; left > 0 && examined < kForwardsPerRound; --left) {
     const RequestId id = queued.front();
     ActiveRequest* entry = this->parts->table.Find(id);
     if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
@@ -288,7 +288,7 @@
       break;
     }
     queued.pop_front();
-    ++looked;
+    ++examined;
     const bool half_waited =
         now - entry->arrived > (entry->placement_deadline - entry->arrived) / 2;
     const Reach reach = half_waited ? Reach::kAnywhere : Reach::kOwnDataCenter;
--- a/packages/core/src/lifecycle/request_flow.h
+++ b/packages/core/src/lifecycle/request_flow.h
@@ -34,7 +34,7 @@
   void OnPlaced(std::span<const Placement> placements);
   void OnTaskUpdate(const TaskUpdate& update);
   /// The scheduler gave up on a queued request.
-  void OnGivenUp(const RequestId& request);
+  void OnExpired(const RequestId& request);
   /// A task is stopped to make room.
   void OnPreempted(const Preemption& preemption);
   /// Deals with deadlines and with requests that wait for a peer to show room.
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -175,8 +175,9 @@
   if (!terms || !terms->idempotent) {
     return true;
   }
-  this->parts->consent.Ask(tracked.plan.request);
-  const Instant consent = this->parts->consent.Since(tracked.plan.request);
+  this->parts->consent.QueryPeers(tracked.plan.request);
+  const Instant consent =
+      this->parts->consent.LastConsentAt(tracked.plan.request);
   // A peer that says so may have lost the worker just before.
   return consent != Instant::max() && now >= consent + lease;
 }
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -322,17 +322,17 @@
   }
   this->checks.Clear(id);
   this->parts->consent.Forget(plan.request);
-  this->RecordRecent(id);
+  this->RecordEnded(id);
 }
 
-void TaskTracker::RecordRecent(const TaskId& task) {
-  if (!this->recent.insert(task).second) {
+void TaskTracker::RecordEnded(const TaskId& task) {
+  if (!this->recently_ended.insert(task).second) {
     return;
   }
-  this->recent_order.push_back(task);
-  if (this->recent_order.size() > kRecentTasks) {
-    this->recent.erase(this->recent_order.front());
-    this->recent_order.pop_front();
+  this->recently_ended_order.push_back(task);
+  if (this->recently_ended_order.size() > kRecentTasks) {
+    this->recently_ended.erase(this->recently_ended_order.front());
+    this->recently_ended_order.pop_front();
   }
 }
 
--- a/packages/core/src/lifecycle/task_tracker.h
+++ b/packages/core/src/lifecycle/task_tracker.h
@@ -110,7 +110,7 @@
   /// @return true if the task ended so recently that a report on its way may
   ///   still show it as running
   [[nodiscard]] bool EndedRecently(const TaskId& task) const {
-    return this->recent.contains(task);
+    return this->recently_ended.contains(task);
   }
   /// @return true if no task is followed at the worker
   [[nodiscard]] bool IdleAt(const WorkerId& worker) const {
@@ -157,7 +157,7 @@
   void Report(const Tracked& tracked, TaskUpdate::Kind kind);
   void Settle(const TaskId& task, TaskUpdate::Kind kind, EndedTask ended = {},
               std::error_code reason = {});
-  void RecordRecent(const TaskId& task);
+  void RecordEnded(const TaskId& task);
   [[nodiscard]] std::vector<TaskId> TasksAt(const WorkerId& worker) const;
 
   Parts* parts;
@@ -166,8 +166,8 @@
   std::map<WorkerId, Instant> renewals;
   TimerQueue<TaskId> checks;
   std::vector<TaskUpdate> updates;
-  std::set<TaskId> recent;
-  std::deque<TaskId> recent_order;
+  std::set<TaskId> recently_ended;
+  std::deque<TaskId> recently_ended_order;
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-DeferredStatus Ask(CoreHarness* harness, const RequestId& request) {
+DeferredStatus QueryStatus(CoreHarness* harness, const RequestId& request) {
   harness->Send(QueryArrived{9, request, false, false, false});
   const auto answers = harness->Take<AnswerQuery>();
   BOOST_TEST_REQUIRE(answers.size() == 1U);
@@ -27,9 +27,9 @@
   const StartTask start = harness.TakeStart();
   BOOST_TEST(start.order.detached);
   harness.Send(TaskStarted{start.worker, start.order.task});
-  BOOST_TEST((Ask(&harness, id).state == DeferredState::kRunning));
+  BOOST_TEST((QueryStatus(&harness, id).state == DeferredState::kRunning));
   harness.EndTask(start);
-  const DeferredStatus status = Ask(&harness, id);
+  const DeferredStatus status = QueryStatus(&harness, id);
   BOOST_TEST((status.state == DeferredState::kFinished));
   BOOST_TEST(View(status.result.body) == "answer");
 }
@@ -181,7 +181,8 @@
   harness.Advance(std::chrono::seconds(11));
   BOOST_TEST(harness.Take<QueryTask>().size() == 1U);
   harness.Send(answer);
-  BOOST_TEST((Ask(&harness, request.id).state == DeferredState::kFinished));
+  BOOST_TEST(
+      (QueryStatus(&harness, request.id).state == DeferredState::kFinished));
 }
 
 // A caller asks for a result whose process does not answer. While the peers are
@@ -312,7 +313,7 @@
     harness.Advance(std::chrono::seconds(30));
   }
   BOOST_TEST(starts == 5);
-  BOOST_TEST((Ask(&harness, id).state == DeferredState::kFailed));
+  BOOST_TEST((QueryStatus(&harness, id).state == DeferredState::kFailed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/core/tests/core_harness.cc
+++ b/packages/core/tests/core_harness.cc
@@ -35,15 +35,15 @@
   return profile;
 }
 
-void AddService(Configuration* cell, const char* name, const char* profile,
-                bool idempotent, std::int32_t tasks) {
+void AddService(Configuration* configuration, const char* name,
+                const char* profile, bool idempotent, std::int32_t tasks) {
   Service service;
   service.id = ServiceId(name);
   service.profile = ProfileId(profile);
   service.resources = kTask;
   service.idempotent = idempotent;
   service.tasks = tasks;
-  cell->services[service.id] = service;
+  configuration->services[service.id] = service;
 }
 
 }  // namespace
@@ -56,32 +56,32 @@
 }
 
 Configuration CoreHarness::CellConfiguration() {
-  Configuration cell;
-  cell.version = 1;
-  cell.default_team = TeamId("dlonie");
+  Configuration configuration;
+  configuration.version = 1;
+  configuration.default_team = TeamId("dlonie");
   Team team;
-  team.id = cell.default_team;
-  cell.teams[team.id] = team;
-  cell.profiles[ProfileId("urgent")] = MakeProfile("urgent", 0);
+  team.id = configuration.default_team;
+  configuration.teams[team.id] = team;
+  configuration.profiles[ProfileId("urgent")] = MakeProfile("urgent", 0);
   Profile batch = MakeProfile("batch", 2);
   batch.deferred = true;
   batch.preemptible = true;
   batch.max_wait = std::chrono::hours(1);
-  cell.profiles[batch.id] = batch;
+  configuration.profiles[batch.id] = batch;
   Profile gang = MakeProfile("gang", 1);
   gang.gang = true;
-  cell.profiles[gang.id] = gang;
-  AddService(&cell, "screen", "urgent", true, 1);
-  AddService(&cell, "booking", "urgent", false, 1);
-  AddService(&cell, "review", "batch", true, 1);
-  AddService(&cell, "letter", "batch", false, 1);
-  AddService(&cell, "rota", "gang", true, 2);
+  configuration.profiles[gang.id] = gang;
+  AddService(&configuration, "screen", "urgent", true, 1);
+  AddService(&configuration, "booking", "urgent", false, 1);
+  AddService(&configuration, "review", "batch", true, 1);
+  AddService(&configuration, "letter", "batch", false, 1);
+  AddService(&configuration, "rota", "gang", true, 2);
   Profile batch_gang = batch;
   batch_gang.id = ProfileId("batch-gang");
   batch_gang.gang = true;
-  cell.profiles[batch_gang.id] = batch_gang;
-  AddService(&cell, "means", "batch-gang", true, 2);
-  return cell;
+  configuration.profiles[batch_gang.id] = batch_gang;
+  AddService(&configuration, "means", "batch-gang", true, 2);
+  return configuration;
 }
 
 void CoreHarness::Send(Event event) {
