--- a/packages/core/include/mustardproxy/core/core.h
+++ b/packages/core/include/mustardproxy/core/core.h
@@ -17,32 +17,32 @@
 
 namespace mustardproxy {
 
-/// All that a core is made with.
+/// Construction parameters of a core.
 struct CoreOptions {
   PeerDescription self;
   Incarnation incarnation = 0;
   std::vector<PeerDescription> peers;
-  /// Workers known from the settings, before any host list arrives.
+  /// Workers named in the settings, used until the first host list arrives.
   std::vector<WorkerDescription> workers;
   MembershipOptions membership;
   OwnershipOptions ownership;
   WorkerHealthOptions worker_health;
   JournalOptions journal;
-  /// Lease of a task at its worker, renewed with each renewal of the worker's
-  /// own lease. A task whose worker can't be reached counts as stopped this
-  /// long after the last renewal was sent.
+  /// Lease of a task at its worker; each renewal of the worker's own lease
+  /// renews it. A task on an unreachable worker is considered stopped once this
+  /// time has passed since the last renewal was sent.
   Duration task_lease = std::chrono::seconds(10);
-  /// The same for a start that the worker never confirmed. It may still lie
-  /// unread in a worker that is frozen, and would run as soon as that goes on:
-  /// its lease only begins there and then.
+  /// The same for a start that the worker never confirmed. A suspended worker
+  /// may still have the start unread in its receive buffer and run it after it
+  /// resumes; the task's lease begins only then.
   Duration unconfirmed_start_timeout = std::chrono::seconds(60);
-  /// Most requests in progress here at once, of all kinds.
+  /// Maximum number of requests of all kinds in progress in this process.
   std::int32_t max_requests = 20000;
-  /// Seed of everything random in the core.
+  /// Seed of the core's random number generators.
   std::uint64_t seed = 0;
 };
 
-/// A summary for operators.
+/// State summary for operators.
 struct CoreStatus {
   ProcessId process;
   DataCenterId data_center;
@@ -61,12 +61,13 @@
   Resources capacity;
   Resources free;
   std::vector<JournalId> journals;
-  /// What peers are told when they ask at this moment.
+  /// Digest that peers would receive now.
   Digest digest;
 };
 
-/// The decisions of one entry process, without input or output: events in,
-/// actions out. Not thread-safe; the control thread drives it.
+/// Decision logic of one entry process. It performs no input or output: it
+/// consumes events and emits actions. Not thread-safe; only the control thread
+/// calls it.
 ///
 /// @par Example
 /// @code
@@ -82,9 +83,9 @@
   Core(Core&&) noexcept;
   Core& operator=(Core&&) noexcept;
 
-  /// Takes one event in and appends what is to be done to `actions`.
+  /// Processes one event and appends the resulting actions to `actions`.
   void Handle(Instant now, Event event, Actions* actions);
-  /// @return when a `Tick` is due at the latest
+  /// @return the latest time at which the next `Tick` must be delivered
   [[nodiscard]] Instant NextWakeup() const;
   [[nodiscard]] CoreStatus Status(Instant now) const;
   /// @return the configuration in force
