--- a/packages/jobs/src/advice_selection.cc
+++ b/packages/jobs/src/advice_selection.cc
@@ -7,15 +7,18 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Room asked about, as a multiple of what the step needs: what is permitted
-/// varies, and room may go while the question is answered.
+/// Capacity asked about, as a multiple of what the step needs: the share of
+/// permitted workers varies, and capacity may be taken while the question is
+/// answered.
 constexpr double kAskedCapacityFactor = 1.6;
-/// The same where the workers are known to be permitted.
+/// The same for workers that are known to be permitted.
 constexpr double kRenewedCapacityFactor = 1.3;
-/// Fewest workers in a question that is to learn something.
+/// Minimum number of workers in a question about workers that are not known
+/// yet.
 constexpr std::size_t kMinAskedWorkers = 6;
-/// The same as a part of those that cost as much as the question itself: few
-/// questions about many workers use the service less than many about few.
+/// Divisors of the number of workers that cost as much as the fixed part of a
+/// question, which give another minimum: few questions about many workers use
+/// less of the policy service's time than many questions about few.
 constexpr std::size_t kGangBatchDivisor = 1;
 constexpr std::size_t kOtherBatchDivisor = 2;
 
@@ -25,11 +28,12 @@
   std::int64_t placeable = 0;
 };
 
-/// Workers with room for the step, by what is known of them.
+/// Workers with capacity for the step, grouped by what is known about them.
 struct WorkerOptions {
   std::vector<WorkerOption> expired;
   std::vector<WorkerOption> unknown;
-  /// Tasks that fit where permissions hold, or have held.
+  /// Tasks that fit on workers whose permissions are valid, and on workers that
+  /// have ever been permitted.
   std::int64_t fresh_room = 0;
   std::int64_t known_room = 0;
 };
@@ -45,10 +49,11 @@
                    });
 }
 
-/// @return tasks that should fit there when the answer comes. For a gang only
-///   the room that is free now counts: of what should become free in time some
-///   part always does not, and the permissions lapse meanwhile. With it a gang
-///   renewed its permissions again and again.
+/// @return the number of tasks that should fit on the worker when the answer
+///   arrives. For a gang only capacity that is free now counts: some of the
+///   capacity that should become free in time never does, and the permissions
+///   expire meanwhile. Counting it made a gang renew its permissions
+///   repeatedly.
 std::int64_t CountFittingAtAnswer(const AdviceSelectionInput& input,
                                   const Candidate& candidate) {
   WorkerCapacity capacity = *candidate.capacity;
@@ -61,10 +66,11 @@
   return CountPlaceable(*input.step, then, input.tasks);
 }
 
-/// A gang gathers its room over time, so it is worth knowing of workers that
-/// are full now: as long as too little room is known, of all of them. Asked
-/// only about those with room, in a cell that was nearly full a gang learnt of
-/// 2 workers a question, and asked 10 to 14 times.
+/// @return true if a gang should ask about the worker although it is full now.
+///   A gang gathers its capacity over time, so all workers count as long as too
+///   little capacity is known. With questions about workers with free capacity
+///   only, a gang in a nearly full cell learned about 2 workers per question
+///   and asked 10 to 14 times.
 bool MayLearnOf(const AdviceSelectionInput& input,
                 const WorkerSession& session) {
   return input.step->gang &&
@@ -84,7 +90,7 @@
     }
     if (ticket == nullptr || placeable == 0) continue;
     options.known_room += placeable;
-    // What lapses sooner is of no use for a start then.
+    // A permission that expires earlier can't be used for a start at that time.
     if (ticket->expires > input.answer_due + kTicketMargin) {
       options.fresh_room += placeable;
     } else {
@@ -96,9 +102,9 @@
   return options;
 }
 
-/// Takes choices until room for `wanted` tasks is expected.
-/// @param share of the workers that will be permitted
-/// @return what is still wanted
+/// Selects options until capacity for `wanted` tasks is expected.
+/// @param share expected share of permitted workers
+/// @return the number of tasks without expected capacity
 double SelectOptions(const std::vector<WorkerOption>& options, double wanted,
                      double share, std::size_t min_workers,
                      std::vector<AskedWorker>* workers) {
--- a/packages/jobs/src/advice_selection.h
+++ b/packages/jobs/src/advice_selection.h
@@ -11,33 +11,35 @@
 
 namespace mustardproxy::jobs {
 
-/// A step that needs permissions, seen when a question about it could be sent.
+/// A step that needs permissions, at the time when a question about it could be
+/// sent.
 struct AdviceSelectionInput {
   const Step* step = nullptr;
-  /// How many of its tasks may start now.
+  /// Number of its tasks that may start now.
   std::int64_t tasks = 0;
   const StepAdvice* advice = nullptr;
-  /// Which share of the workers asked about is permitted as a rule.
+  /// Expected share of permitted workers among those asked about.
   double permitted_share = 0.0;
-  /// So many workers cost as much as a question's fixed part.
+  /// Number of workers that cost as much as the fixed part of a question.
   std::size_t workers_per_fixed_cost = 0;
   Instant now;
-  /// When the answer should have come.
+  /// When the answer is expected.
   Instant answer_due;
 };
 
-/// Chooses the workers to ask the policy service about. What it said of a
-/// worker stays true for the worker's life; only the permission lapses. So:
+/// Selects the workers to ask the policy service about. Its answer about a
+/// worker stays valid for the incarnation of the worker; only the permission
+/// expires. Therefore:
 /// - workers that it has refused are never asked about again;
-/// - a gang that fits where it is known to be permitted only has these
-///   permissions renewed; else others are asked about, to learn more;
-/// - other tasks take room wherever there is some.
+/// - a gang that fits on workers known to be permitted only renews those
+///   permissions; otherwise it asks about workers that are not known yet;
+/// - other tasks use any worker that has capacity.
 ///
-/// Asking about all known workers each time permissions lapse would keep the
-/// policy service busy with gangs, and the steps of other queues would wait.
+/// Asking about all known workers whenever permissions expire would keep the
+/// policy service busy with gangs and delay the steps of other queues.
 ///
-/// @param candidates rooms that the step may use, permissions aside
-/// @return none if a question would not help now
+/// @param candidates capacity that the step may use, regardless of permissions
+/// @return an empty list if a question would not help now
 [[nodiscard]] std::vector<AskedWorker> SelectWorkersToAsk(
     const AdviceSelectionInput& input, std::span<const Candidate> candidates);
 
--- a/packages/jobs/src/callback_guard.h
+++ b/packages/jobs/src/callback_guard.h
@@ -6,11 +6,11 @@
 
 namespace mustardproxy::jobs {
 
-/// Lets callbacks outlive the object that they belong to: those made by `Wrap`
-/// do nothing once the guard is gone.
+/// Lets callbacks outlive the object that they belong to: callbacks made by
+/// `Wrap` do nothing after the guard is destroyed.
 ///
-/// Failure guarded against: an owner steps down while its calls are under way;
-/// their answers would reach freed memory.
+/// Failure guarded against: an owner steps down while calls are in flight, and
+/// their answers access freed memory.
 class CallbackGuard {
  public:
   template <typename Function>
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -15,21 +15,23 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// A job that takes more than this times its objective is worth nothing.
+/// Multiple of its objective after which a job has no value any more.
 constexpr std::int64_t kExpiryFactor = 3;
-/// Gangs that may hold room at the same time. With more, a burst of gangs would
-/// hold the whole cell empty for each other.
+/// Maximum number of gangs that hold capacity at the same time. With more, a
+/// burst of gangs would keep the whole cell idle for each other.
 constexpr std::int32_t kMaxHolds = 2;
-/// Time allowed for a gang to gather its room, as a multiple of what it takes
-/// if nothing else starts: steps of higher rank do start meanwhile.
+/// Time allowed for a gang to gather its capacity, as a multiple of the time
+/// needed if nothing else starts. Steps of higher rank do start meanwhile.
 constexpr std::int64_t kGatherTimeFactor = 2;
-/// Once a run of a step was at work for so long, its other tasks may start.
+/// Run time after which a run of a step proves the step harmless, so that its
+/// other tasks may start.
 constexpr Duration kProvenStepRunTime = milliseconds(200);
 /// How long a suspicious task waits for a worker on which all runs are proven.
 constexpr Duration kQuietWorkerWait = milliseconds(2000);
-/// A suspicious task that has waited for so long goes before all others.
+/// A suspicious task that has waited this long precedes all others.
 constexpr Duration kMaxTrialWait = milliseconds(1000);
-/// Least time between two looks at whether a question about a step would help.
+/// Minimum time between two checks of whether a question about a step would
+/// help.
 constexpr Duration kAskInterval = milliseconds(50);
 
 Duration Scale(Duration duration, double factor) {
@@ -38,7 +40,7 @@
 }
 
 /// Moves workers on which one of the tasks failed last to the end.
-/// @return how many candidates come before them
+/// @return the number of candidates before them
 std::size_t MoveFailedWorkersLast(const SchedulingUnit& unit,
                                   std::vector<Candidate>* candidates) {
   const auto failed_there = [&](const Candidate& candidate) {
@@ -63,7 +65,7 @@
       }));
 }
 
-/// @return how many of the unit's tasks the candidates take now
+/// @return how many of the unit's tasks fit on the candidates now
 std::int64_t CountPlaceableTasks(const SchedulingUnit& unit,
                                  const std::vector<Candidate>& candidates) {
   std::int64_t room = 0;
@@ -102,8 +104,8 @@
         return std::tie(a.deadline_status, a.queue->priority, a.start_by) <
                std::tie(b.deadline_status, b.queue->priority, b.start_by);
       });
-  // Failure: suspicious tasks that come later, and are not late yet, take each
-  // worker that may be kept, and one that has waited long never starts.
+  // Failure: later suspicious tasks that are not late yet take every worker
+  // that may be quarantined, and one that has waited for long never starts.
   const auto usual = std::stable_partition(
       units.begin(), units.end(), [&](const SchedulingUnit& unit) {
         return unit.quarantined && now >= unit.waiting_since + kMaxTrialWait;
@@ -173,7 +175,7 @@
 
 void Dispatcher::CollectUnits(JobEntry* entry, Instant now,
                               std::vector<SchedulingUnit>* units) {
-  // The same for all steps of the job.
+  // The objective is the same for all steps of the job.
   std::optional<Duration> objective;
   for (const auto& [number, occurrence] : entry->occurrences) {
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
@@ -210,8 +212,8 @@
       });
   const std::vector<std::int32_t> suspicious(first, unit->tasks.end());
   unit->tasks.erase(first, unit->tasks.end());
-  // Failure: all tasks of a step take their workers down, and each of them is
-  // tried at the same time as the others.
+  // Failure: every task of a step crashes its worker, and all of them are tried
+  // at the same time.
   if (this->IsUnproven(*unit)) unit->tasks.clear();
   if (suspicious.empty() || this->HasQuarantined(*unit->entry)) {
     return std::nullopt;
@@ -289,8 +291,9 @@
   }
   const auto all = static_cast<double>(this->context->workers.Size());
   const auto share = static_cast<std::size_t>(kMaxQuarantinedShare * all);
-  // Half of what stands empty: the rest is for what comes meanwhile. Those that
-  // have gone down are kept from nothing else, but there may not be ever more.
+  // At most half of the idle workers are used, to leave the rest for work that
+  // arrives meanwhile. Quarantined workers that are down could run nothing
+  // else, but their number is bounded too.
   const std::size_t most = std::max({share, idle / 2, std::size_t{1}});
   return kept < most && kept + down < 2 * most;
 }
@@ -354,10 +357,10 @@
         FindGangFit(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
                     candidates, now);
     if (!fit) continue;
-    // Failure: a wide gang comes first only when it could just start in time,
-    // begins to gather room then, and is late before it has it. And what it has
-    // gathered must not make it less urgent, or others would take that room
-    // and all would stand empty by turns.
+    // Failure: a wide gang gets priority only when it could just start in time,
+    // begins to gather capacity then, and is late before it has it. The
+    // capacity that it has gathered must not reduce its urgency: others would
+    // take that capacity, and it would stay idle alternately for each of them.
     Instant& gather_by = unit.progress->gather_by;
     gather_by = std::min(gather_by,
                          unit.start_by - kGatherTimeFactor * (fit->at - now));
@@ -409,7 +412,7 @@
     const bool holds = one.ticket.expires > valid_at;
     if (need == PermitFilter::kValid && !holds) continue;
     WorkerCapacity* capacity = capacities.At(one.session);
-    // The queue may have been given to another service meanwhile.
+    // The queue may have been assigned to another service meanwhile.
     const bool serves = capacity != nullptr &&
                         capacity->session->info.service == unit.queue->service;
     if (serves) this->AddCandidate(unit, capacity, end, &candidates);
@@ -431,8 +434,8 @@
   this->PlaceOn(unit,
                 this->Permitted(*unit, capacities, now, PermitFilter::kValid));
   if (!unit->step->gang || unit->tasks.empty()) return;
-  // Most gangs that wait have too little room, and a pass looks at a hundred of
-  // them; the search for places costs far more than this.
+  // Most waiting gangs lack capacity, and a pass examines about a hundred of
+  // them. The search for places is far more expensive than these checks.
   if (!this->MayReserveCapacity(*unit, capacities)) return;
   if (!this->HasCapacity(*unit, capacities, now)) return;
   this->PlaceOn(unit, this->GangCandidates(*unit, capacities, now));
@@ -455,8 +458,8 @@
 void Dispatcher::PlaceOn(SchedulingUnit* unit,
                          std::vector<Candidate> candidates) {
   if (candidates.empty()) return;
-  // Failure: a worker fails part of what it runs, and the task that failed
-  // there goes back to it until its attempts are used up.
+  // Failure: a worker fails some of its runs, and the failed task is placed on
+  // it again until its attempts are used up.
   const std::size_t others = MoveFailedWorkersLast(*unit, &candidates);
   const auto count = static_cast<std::int32_t>(unit->tasks.size());
   std::vector<WorkerIncarnation> workers =
@@ -465,7 +468,7 @@
   if (workers.empty()) return;
   this->Start(unit, workers);
   if (unit->entry->crashes.empty()) return;
-  // Nothing else is placed beside a suspicious task in this pass either.
+  // Nothing else is placed beside a suspicious task in this pass.
   for (Candidate& one : candidates) {
     if (one.capacity->session->Quarantined()) one.capacity->free = Resources{};
   }
@@ -503,10 +506,10 @@
 std::vector<AskedWorker> Dispatcher::WorkersToAsk(
     const SchedulingUnit& unit, const PassCapacity& capacities,
     Instant now) const {
-  // Failure: what decides whether to ask and what decides whether to take room
-  // count different permissions, and a gang that has enough for the one and too
-  // little for the other waits for good. So a gang takes its room or asks, and
-  // both look at the same rooms.
+  // Failure: the decision to ask and the decision to take capacity count
+  // different permissions, and a gang with enough for the one and too little
+  // for the other waits forever. So a gang either takes its capacity or asks,
+  // and both decisions examine the same capacity.
   if (unit.step->gang && this->HasCapacity(unit, capacities, now)) return {};
   const AdvicePolicy& policy = *unit.queue->advice;
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
--- a/packages/jobs/src/dispatcher.h
+++ b/packages/jobs/src/dispatcher.h
@@ -15,87 +15,91 @@
 
 namespace mustardproxy::jobs {
 
-/// Which permissions count when rooms are looked for.
+/// Which permissions count in a search for capacity.
 enum class PermitFilter {
-  /// Those that still hold when a start sent now arrives.
+  /// Permissions that are still valid when a start sent now arrives.
   kValid,
-  /// All that were ever given, also those that have lapsed or were turned down:
-  /// that a worker may run a step stays true for its life.
+  /// All permissions ever granted, including those that have expired or were
+  /// rejected by the worker: a permitted worker stays permitted for its
+  /// incarnation.
   kKnown,
 };
 
-/// Decides which tasks start next and where: a pass over all that may start, in
-/// order of rank, whenever something has changed.
+/// Decides which tasks start next and where. After every change it makes a pass
+/// over all startable tasks in order of rank.
 class Dispatcher {
  public:
   explicit Dispatcher(OwnerContext* context);
 
-  /// Has a pass made soon.
+  /// Schedules a pass; calls before it are merged into one pass.
   void SchedulePass();
-  /// Workers to ask the policy service about for a step.
+  /// @return the workers to ask the policy service about for a step
   [[nodiscard]] std::vector<AskedWorker> ChooseForAdvice(const StepRef& ref);
 
  private:
   void Pass();
-  /// Takes note of whether a worker does not answer.
+  /// Records whether any worker with runs does not answer.
   void UpdateAnySilent();
-  /// Takes note of the workers whose health has changed.
+  /// Records the workers whose health has changed.
   void UpdateEjected(Instant now);
   std::vector<SchedulingUnit> CollectUnits(Instant now);
   void CollectUnits(JobEntry* entry, Instant now,
                     std::vector<SchedulingUnit>* units);
-  /// Takes the suspicious tasks out of a unit, and all others while it is not
-  /// known whether these are sound.
-  /// @return a unit of the one that may start next, if any
+  /// Removes the suspicious tasks from a unit, and all other tasks too while
+  /// the step is unproven.
+  /// @return a unit with the suspicious task that may start next, if any
   std::optional<SchedulingUnit> SplitSuspicious(SchedulingUnit* unit) const;
-  /// @return true if a task of the step is suspicious and none is known to be
-  ///   sound
+  /// @return true if a task of the step is suspicious and no run has proven the
+  ///   step harmless
   bool IsUnproven(const SchedulingUnit& unit) const;
-  /// @return true if a worker fell silent that was told to start a run of the
-  ///   step, and was not seen running it
+  /// @return true if a worker stopped answering after a run of the step was
+  ///   ordered and before the run was seen running
   bool MayHaveCrashedWorker(const SchedulingUnit& unit) const;
-  /// @return the run of a task if it is open, else null
+  /// @return the run of a task if the task is open, else null
   const SessionRun* FindRun(const TaskRef& ref, const TaskEntry& task) const;
   const SessionRun* FindRun(const SchedulingUnit& unit,
                             std::size_t index) const;
-  /// @return true if a worker is kept for a task of the job
+  /// @return true if a worker is quarantined for a task of the job
   bool HasQuarantined(const JobEntry& entry) const;
-  /// @return the time from a job's acceptance in which it should be done
+  /// @return the time after its acceptance within which a job should be done
   Duration Objective(const SchedulingUnit& unit) const;
   void Rank(SchedulingUnit* unit, Duration objective, Instant now) const;
   void AdvanceGangStartTimes(std::vector<SchedulingUnit>* units,
                              const PassCapacity& capacities, Instant now) const;
   void PlaceUnit(SchedulingUnit* unit, const PassCapacity& capacities,
                  Instant now);
-  /// @return true if a gang's room is there, permissions that have lapsed aside
+  /// @return true if capacity for the whole gang is free, including on workers
+  ///   whose permissions have expired
   bool HasCapacity(const SchedulingUnit& unit, const PassCapacity& capacities,
                    Instant now) const;
-  /// @return true if one more gang may take its room before it asks
+  /// @return true if one more gang may take its capacity before it asks
   bool MayReserveCapacity(const SchedulingUnit& unit,
                           const PassCapacity& capacities) const;
-  /// Starts a suspicious task where the fewest others run.
+  /// Starts a suspicious task on the worker with the fewest other runs.
   void PlaceQuarantined(SchedulingUnit* unit, const PassCapacity& capacities,
                         Instant now);
-  /// @return true if one more worker may be kept for a suspicious task
+  /// @return true if one more worker may be quarantined for a suspicious task
   bool MayQuarantine() const;
-  /// Starts what fits of the unit, a gang only whole.
+  /// Starts those tasks of the unit that fit; a gang starts whole or not at
+  /// all.
   void PlaceOn(SchedulingUnit* unit, std::vector<Candidate> candidates);
-  /// Rooms that the step may use, permissions aside.
+  /// @return capacity that the step may use, regardless of permissions
   std::vector<Candidate> Candidates(const SchedulingUnit& unit,
                                     const PassCapacity& capacities,
                                     Instant now) const;
-  /// Rooms on workers that may run the step.
+  /// @return capacity on workers that are permitted to run the step
   std::vector<Candidate> Permitted(const SchedulingUnit& unit,
                                    const PassCapacity& capacities, Instant now,
                                    PermitFilter need) const;
-  /// Rooms that a gang may use, whether its permissions have lapsed or not.
+  /// @return capacity that a gang may use, including where its permissions have
+  ///   expired
   std::vector<Candidate> GangCandidates(const SchedulingUnit& unit,
                                         const PassCapacity& capacities,
                                         Instant now) const;
   void AddCandidate(const SchedulingUnit& unit, WorkerCapacity* capacity,
                     Instant end, std::vector<Candidate>* candidates) const;
-  /// @return workers that a question about the step would be about; none if it
-  ///   would not help
+  /// @return the workers that a question about the step would name; empty if a
+  ///   question would not help
   std::vector<AskedWorker> WorkersToAsk(const SchedulingUnit& unit,
                                         const PassCapacity& capacities,
                                         Instant now) const;
@@ -106,7 +110,7 @@
                              const PassCapacity& capacities, Instant now);
   void HoldForGang(const SchedulingUnit& unit, const PassCapacity& capacities,
                    Instant now);
-  /// @return what a step that waits has
+  /// @return the state of a waiting step, for the wait report
   WaitFacts CollectWaitFacts(const SchedulingUnit& unit,
                              const PassCapacity& capacities, Instant now) const;
   SchedulingUnit MakeUnit(JobEntry* entry, const StepRef& ref) const;
@@ -114,7 +118,7 @@
   OwnerContext* context;
   WaitReport waits;
   bool pass_scheduled = false;
-  /// In this pass: a worker that runs something does not answer.
+  /// Whether, in this pass, a worker with runs does not answer.
   bool any_silent = false;
   Instant last_pass;
   CallbackGuard guard;
--- a/packages/jobs/src/gang_hold.cc
+++ b/packages/jobs/src/gang_hold.cc
@@ -6,7 +6,7 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Room that is expected to become free.
+/// Capacity that is expected to become free.
 struct Release {
   Instant at;
   std::size_t candidate = 0;
@@ -61,7 +61,8 @@
 void HoldCapacity(const Step& step, std::int64_t tasks,
                   std::span<Candidate> candidates, Instant now) {
   const auto fit = FindGangFit(step, tasks, candidates, now);
-  // It does not fit even when all have ended; holding would not help.
+  // The gang does not fit even after all runs have ended, so holding capacity
+  // would not help.
   if (!fit) return;
   for (const std::size_t index : fit->candidates) {
     candidates[index].capacity->held = true;
--- a/packages/jobs/src/gang_hold.h
+++ b/packages/jobs/src/gang_hold.h
@@ -12,23 +12,22 @@
 
 namespace mustardproxy::jobs {
 
-/// When and where a gang should fit, as running tasks end.
+/// When and where a gang is expected to fit, as running tasks end.
 struct GangFit {
   Instant at;
-  /// Positions of the candidates that are to give room.
+  /// Indexes of the candidates that provide capacity.
   std::vector<std::size_t> candidates;
 };
 
-/// @return the earliest fit if nothing else is started meanwhile; nothing if
-/// the
-///   gang does not fit even when all that runs has ended
+/// @return the earliest fit if nothing else starts meanwhile; nothing if the
+///   gang does not fit even after all runs have ended
 [[nodiscard]] std::optional<GangFit> FindGangFit(
     const Step& step, std::int64_t tasks, std::span<Candidate> candidates,
     Instant now);
 
-/// Holds room for a gang that does not fit now, until the earliest moment at
-/// which it should. Lower-ranked tasks still fill the gaps if they end before
-/// (backfill).
+/// Holds capacity for a gang that does not fit now until the earliest time at
+/// which it should. Lower-ranked tasks may still use that capacity if they end
+/// earlier (backfill).
 ///
 /// Failure guarded against: small tasks take each gap as it opens, and a gang
 /// that needs a third of the workers at once never starts.
--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -9,14 +9,16 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// How long the room of a gang stays empty for it once its start is stored: two
-/// questions about the most workers. Longer only if the policy service fails.
+/// How long the capacity of a gang stays reserved after its start is stored:
+/// the time of two questions about the maximum number of workers. It takes
+/// longer only if the policy service fails.
 constexpr Duration kMaxReservationTime = milliseconds(3000);
-/// Share of the cell's processors that may stand empty for gangs whose question
-/// is being answered before one more may take its room: urgent tasks find room
-/// in the rest.
+/// Share of the cell's processors that may be reserved for gangs with an
+/// unanswered question before one more gang may reserve: the rest stays
+/// available to urgent tasks.
 constexpr double kMaxReservedShare = 0.05;
-/// How long a gang that was given up on leaves the room to others.
+/// How long a gang whose reservation was given up leaves the capacity to
+/// others.
 constexpr Duration kReservationBackoff = seconds(1);
 
 }  // namespace
@@ -45,7 +47,7 @@
 void GangReservations::OnStored(const RunRef& first) {
   const StepRef& step = first.task.step;
   const auto found = this->reservations.find(step);
-  // It may be that an earlier run of the same gang was stored late.
+  // An earlier run of the same gang may have been stored late.
   if (found == this->reservations.end()) return;
   if (found->second.runs.front() != first) return;
   found->second.stored = true;
@@ -149,7 +151,8 @@
   } else if (this->IsRefused(step, reservation)) {
     this->GiveUp(step, "a worker is not permitted");
   } else if (reservation.awaits_permission) {
-    // Nothing else could start either while the store does not answer.
+    // While the store does not answer, nothing else could start either, so an
+    // unstored reservation has no timeout.
     const bool timed_out =
         reservation.stored && now - reservation.since > kMaxReservationTime;
     if (timed_out) {
--- a/packages/jobs/src/gang_reservations.h
+++ b/packages/jobs/src/gang_reservations.h
@@ -12,45 +12,44 @@
 
 namespace mustardproxy::jobs {
 
-/// @return true if one more gang, however wide, may take its room before it
-/// asks
+/// @return true if one more gang, however wide, may reserve its capacity before
+///   it asks
 ///
-/// Failure guarded against: the size of the one that asks counts too, and while
-/// narrow gangs come all the time a wide one never finds enough left; it stayed
-/// behind in a cell that was nearly empty.
+/// Failure guarded against: if the size of the asking gang counted too, a
+/// constant stream of narrow gangs would never leave enough for a wide one,
+/// even in a nearly empty cell.
 [[nodiscard]] bool MayReserve(std::int64_t reserved_cpu_milli,
                               std::int64_t cell_cpu_milli);
 
-/// Gangs whose room is taken while the policy service is asked for permission
-/// to start exactly there.
+/// Gangs whose capacity is reserved while the policy service is asked for
+/// permission to start exactly there.
 ///
 /// Failure guarded against: a gang asks for permissions first and takes its
-/// room when they are there. The question takes up to a second, the room is
-/// partly gone by then, and the permissions lapse before it is back: a wide
-/// gang asks again and again and never starts, and the questions of such gangs
-/// keep the policy service busy for all. With its room taken it asks once.
+/// capacity afterwards. The question takes up to a second, part of the capacity
+/// is taken meanwhile, and the permissions expire before it is free again. A
+/// wide gang then asks repeatedly and never starts, and such questions keep the
+/// policy service busy for all. With its capacity reserved, it asks once.
 class GangReservations {
  public:
   explicit GangReservations(OwnerContext* context);
 
-  /// The runs of a gang have taken their room; they are sent once they are
-  /// stored and all permissions hold.
+  /// Reserves the capacity that the runs of a gang occupy. The runs are sent
+  /// once they are stored and all permissions are valid.
   /// @param workers one for each run
   void Add(std::vector<RunRef> runs, std::vector<WorkerIncarnation> workers);
-  /// The runs of a reservation have been written down.
+  /// Called when the runs of a reservation have been stored.
   void OnStored(const RunRef& first);
-  /// A question about the step was answered, or failed.
+  /// Called when a question about the step was answered or has failed.
   void OnAnswer(const StepRef& step);
-  /// Looks at all reservations: some were given up on elsewhere, or last too
-  /// long.
+  /// Checks all reservations: some were stopped elsewhere or have timed out.
   void CheckAll();
 
   [[nodiscard]] bool Holds(const StepRef& step) const;
   /// @param cell_cpu_milli processors of the service's workers
-  /// @return true if one more gang may take its room before it asks
+  /// @return true if one more gang may reserve its capacity before it asks
   [[nodiscard]] bool MayAdd(std::int64_t cell_cpu_milli) const;
-  /// @return the workers of a reservation whose permissions would not hold when
-  ///   the answer comes
+  /// @return the workers of a reservation whose permissions would not be valid
+  ///   when the answer arrives
   [[nodiscard]] std::vector<AskedWorker> WorkersToAsk(const StepRef& step);
 
  private:
@@ -58,19 +57,19 @@
     std::vector<RunRef> runs;
     std::vector<WorkerIncarnation> workers;
     bool stored = false;
-    /// When its room was taken, or its runs were stored.
+    /// When the capacity was reserved, or, later, when the runs were stored.
     Instant since;
     std::int64_t cpu_milli = 0;
-    /// Its question is still to be answered.
+    /// Whether a permission is still missing.
     bool awaits_permission = false;
   };
 
   void Check(const StepRef& step);
-  /// @return true if each of its runs still waits to be sent
+  /// @return true if each of its runs is still planned and not stopping
   [[nodiscard]] bool AllRunsPlanned(const Reservation& reservation);
   [[nodiscard]] bool IsRefused(const StepRef& step,
                                const Reservation& reservation);
-  /// @return the workers whose permission does not hold at `moment`
+  /// @return the workers whose permission is not valid at `moment`
   [[nodiscard]] std::vector<AskedWorker> Unpermitted(
       const StepRef& step, const Reservation& reservation, Instant moment);
   void Send(const StepRef& step);
--- a/packages/jobs/src/pass_capacity.cc
+++ b/packages/jobs/src/pass_capacity.cc
@@ -13,7 +13,7 @@
 
 PassCapacity::PassCapacity(const WorkerTable& workers)
     : by_session(workers.NumberLimit(), nullptr) {
-  // The rooms must not move any more once they are pointed to.
+  // The entries are pointed to, so the vector must not reallocate.
   this->capacities.reserve(workers.Size());
   for (const auto& [id, session] : workers) {
     if (!TakesTasks(*session)) continue;
--- a/packages/jobs/src/pass_capacity.h
+++ b/packages/jobs/src/pass_capacity.h
@@ -12,32 +12,34 @@
 
 namespace mustardproxy::jobs {
 
-/// The room of all workers that may take tasks, during one pass over the queue.
-/// A pass looks at hundreds of steps, so nothing here is searched by name.
+/// Free capacity of all workers that accept tasks, during one pass over the
+/// queue. A pass examines hundreds of steps, so no lookup here is by name
+/// except by service.
 class PassCapacity {
  public:
   explicit PassCapacity(const WorkerTable& workers);
   PassCapacity(const PassCapacity&) = delete;
   PassCapacity& operator=(const PassCapacity&) = delete;
 
-  /// @return rooms of a service's workers
+  /// @return the capacity of each worker of a service
   [[nodiscard]] std::span<WorkerCapacity* const> OfService(
       const ServiceId& service) const;
-  /// @return what all of a service's workers hold together
+  /// @return the total capacity of a service's workers, free or not
   [[nodiscard]] Resources Capacity(const ServiceId& service) const;
-  /// @return the room of a worker, or null if it may not take tasks
+  /// @return the capacity of a worker, or null if it does not accept tasks
   [[nodiscard]] WorkerCapacity* At(SessionNumber session) const {
     return session < this->by_session.size() ? this->by_session[session]
                                              : nullptr;
   }
-  /// @return false if no worker of the service has room for a single task
+  /// @return false if no worker of the service has capacity for a single task
   [[nodiscard]] bool MayFitTask(const ServiceId& service,
                                 const Step& step) const;
 
  private:
   struct ServiceCapacity {
     std::vector<WorkerCapacity*> capacities;
-    /// The most that any worker has of each part; rooms only shrink in a pass.
+    /// Maximum over the workers of each resource. Free capacity only shrinks
+    /// during a pass.
     Resources most;
     Resources capacity;
   };
--- a/packages/jobs/src/placement.cc
+++ b/packages/jobs/src/placement.cc
@@ -15,7 +15,8 @@
   std::map<std::string, std::uint32_t> racks;
   std::vector<GangCandidate> grouped;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    // However few are wanted: the search fills the smallest gaps first.
+    // All tasks count, however few are wanted: the search fills the smallest
+    // gaps first.
     const std::int64_t room = CountPlaceable(step, candidates[i]);
     if (room == 0) continue;
     const auto rack =
--- a/packages/jobs/src/scheduling_unit.h
+++ b/packages/jobs/src/scheduling_unit.h
@@ -17,14 +17,15 @@
   StepEntry* progress = nullptr;
   StepRef ref;
   std::vector<std::int32_t> tasks;
-  /// Its task may take a worker down and starts apart from others.
+  /// Whether its only task may crash its worker and therefore starts apart from
+  /// others.
   bool quarantined = false;
   /// Since when that task has waited.
   Instant waiting_since;
   StartDeadlines deadlines;
   DeadlineStatus deadline_status = DeadlineStatus::kOnTime;
-  /// When the step has to be begun for the job to be done in time: a gang's
-  /// room has to be gathered before it can start.
+  /// When the step must start for its job to be done in time. Earlier for a
+  /// gang, which has to gather its capacity first.
   Instant start_by;
 };
 
--- a/packages/jobs/src/start_deadlines.h
+++ b/packages/jobs/src/start_deadlines.h
@@ -5,15 +5,15 @@
 
 namespace mustardproxy::jobs {
 
-/// What is left of a job's worth if its next step starts now. What is in time
-/// goes before what is late, and that before what is worth nothing any more.
+/// Value of a job if its next step starts now. Steps that are on time precede
+/// late ones, and those precede steps whose job has no value any more.
 enum class DeadlineStatus { kOnTime, kLate, kExpired };
 
-/// Until when a step has to be begun.
+/// Latest start times of a step.
 struct StartDeadlines {
   /// For its job to be done in time.
   Instant on_time = Instant::max();
-  /// For its job to be worth anything.
+  /// For its job to have any value.
   Instant useful = Instant::max();
 
   [[nodiscard]] DeadlineStatus At(Instant now) const {
--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -7,9 +7,9 @@
 
 using std::chrono::seconds;
 
-/// Pause between two lines about one step, and before the first.
+/// Interval between two lines about one step, and the delay before the first.
 constexpr Duration kReportInterval = seconds(2);
-/// Most lines a second: a fortieth of what the log takes.
+/// A fortieth of the rate that the log accepts.
 constexpr std::int32_t kMaxLinesPerSecond = 50;
 
 std::string_view Name(DeadlineStatus deadline_status) {
@@ -87,8 +87,8 @@
   }
   const bool has_room = this->room >= this->needed;
   if (has_room && this->room_taken_by_gangs) return UnblockEvent::kReservations;
-  // Other tasks ask only where there is room, and not if a worker whose
-  // permission holds has room soon.
+  // Other tasks ask only where capacity is free, and not if a worker with a
+  // valid permission will have capacity soon.
   const bool waits_for_runs = !this->gang || !has_room;
   if (waits_for_runs && this->fits_later) return UnblockEvent::kRuns;
   if (this->held > 0) return UnblockEvent::kHold;
--- a/packages/jobs/src/wait_report.h
+++ b/packages/jobs/src/wait_report.h
@@ -13,96 +13,97 @@
 
 namespace mustardproxy::jobs {
 
-/// What keeps a step from starting.
+/// What prevents a step from starting.
 enum class WaitReason {
-  /// No worker has its label and could hold one of its tasks.
+  /// No worker has the required label and could hold one of its tasks.
   kNoWorker,
   /// Too few workers are known to be permitted.
   kPermissions,
-  /// The permitted ones have too little room at this moment.
+  /// The permitted workers have too little free capacity now.
   kRoom,
-  /// They have room, but their permissions have lapsed.
+  /// The permitted workers have capacity, but their permissions have expired.
   kLapsed,
-  /// Workers were lost under it, and enough workers are kept for such tasks.
+  /// Workers were lost while running it, and the maximum number of workers is
+  /// quarantined already.
   kQuarantine,
-  /// Nothing: it should start with the next pass.
+  /// Nothing: it should start in the next pass.
   kNone,
 };
 
 /// @return `no-worker`, `permissions`, `room`, `lapsed`, `quarantine` or `none`
 [[nodiscard]] std::string_view Name(WaitReason reason);
 
-/// What ends the wait of a step.
+/// The event that ends the wait of a step.
 enum class UnblockEvent {
-  /// The answer to a question that is queued or on its way.
+  /// The answer to a question that is queued or in flight.
   kAnswer,
-  /// A question that is to be asked.
+  /// A question that will be asked.
   kQuestion,
-  /// The next pass: of the tasks of a step some were placed, and the others may
-  /// only go where one of them has failed.
+  /// The next pass: some tasks of the step were placed, and the others may only
+  /// run on a worker where one of them has failed.
   kPass,
-  /// Gangs that have taken room start or give it back.
+  /// Gangs that have reserved capacity start or release it.
   kReservations,
-  /// What runs on the workers ends.
+  /// Runs on the workers end.
   kRuns,
-  /// Another suspicious task is proved, or its worker lost.
+  /// Another suspicious task is proven harmless, or its worker is lost.
   kQuarantine,
-  /// A gang that gathers room starts.
+  /// A gang that holds capacity starts.
   kHold,
-  /// All workers are known, and they would not do if they were empty: one that
-  /// comes, or comes back.
+  /// A worker joins or returns: all workers are known, and their capacity would
+  /// not suffice even if they were idle.
   kWorkers,
-  /// Nothing would: a fault of ours.
+  /// No event would end the wait: a bug in the scheduler.
   kNothing,
 };
 
 /// @return `answer`, `question`, `pass`, `reservations`, `runs`, `quarantine`,
-/// `hold`,
-///   `workers` or `nothing`
+///   `hold`, `workers` or `nothing`
 [[nodiscard]] std::string_view Name(UnblockEvent end);
 
-/// What a step that waits has, in tasks of its own.
+/// State of a waiting step, counted in its own tasks.
 struct WaitFacts {
-  /// All tasks start together or none.
+  /// All tasks start together or none does.
   bool gang = false;
-  /// Workers were lost under it, and it starts apart from others.
+  /// Workers were lost while running it, and it starts apart from others.
   bool quarantined = false;
-  /// Fewest tasks that start together.
+  /// Minimum number of tasks that start together.
   std::int64_t needed = 1;
-  /// Workers that could hold a task if they were empty, permissions aside.
+  /// Workers that could hold a task if they were idle, regardless of
+  /// permissions.
   std::int64_t eligible = 0;
   /// The queue has a policy; without one all workers are permitted.
   bool has_policy = false;
   std::int64_t permitted = 0;
   std::int64_t refused = 0;
-  /// Tasks that the permitted workers hold if empty, and now.
+  /// Tasks that fit on the permitted workers if those were idle, and now.
   std::int64_t could_fit = 0;
   std::int64_t room = 0;
-  /// Of the room now, that for which permissions hold.
+  /// Part of `room` on workers with valid permissions.
   std::int64_t fresh_room = 0;
-  /// Eligible workers that a gang holds room on.
+  /// Eligible workers on which a gang holds capacity.
   std::int64_t held = 0;
-  /// A question about the step is queued or on its way.
+  /// A question about the step is queued or in flight.
   bool asking = false;
-  /// A question would be about some workers.
+  /// A question would name at least one worker.
   bool helped_by_question = false;
-  /// As much room is taken for gangs that ask as may be.
+  /// Gangs that wait for permissions have reserved as much capacity as allowed.
   bool room_taken_by_gangs = false;
-  /// It fits once enough of what runs has ended: a gang where it is known to be
-  /// permitted, another task where it is not refused.
+  /// It fits after enough runs have ended: a gang on workers known to be
+  /// permitted, another task on workers that are not refused.
   bool fits_later = false;
 
   [[nodiscard]] WaitReason Reason() const;
   [[nodiscard]] UnblockEvent NextUnblockEvent() const;
 };
 
-/// Says what steps wait for: a line a step every two seconds, a bounded number
-/// a second in all, and a counter by reason.
+/// Reports what steps wait for: one line per step every two seconds, with a
+/// bounded total rate, and a counter by reason.
 class WaitReport {
  public:
   WaitReport(EventLog* log, Metrics* metrics);
 
-  /// @return true if the step has waited and is to be reported now
+  /// @return true if the step has waited long enough and is to be reported now
   [[nodiscard]] bool Due(const SchedulingUnit& unit, Instant now);
   void Write(const SchedulingUnit& unit, const WaitFacts& facts, Instant now);
 
