--- a/packages/jobs/include/mustardproxy/jobs/executor.h
+++ b/packages/jobs/include/mustardproxy/jobs/executor.h
@@ -8,11 +8,11 @@
 
 namespace mustardproxy::jobs {
 
-/// Names a pending call of `Executor::After`.
+/// Identifies a pending call of `Executor::After`.
 using TimerId = std::uint64_t;
 
-/// The one thread on which all control state lives, and its clocks. Everything
-/// in this package runs on it; tests run it in virtual time.
+/// The control thread, on which all control state lives, and its clocks.
+/// Everything in this package runs on it; tests run it in virtual time.
 class Executor {
  public:
   Executor() = default;
@@ -20,16 +20,17 @@
   Executor& operator=(const Executor&) = delete;
   virtual ~Executor() = default;
 
-  /// Monotonic, and goes on while the machine is suspended: leases of others
-  /// lapse meanwhile.
+  /// Monotonic, and continues while the machine is suspended, because the
+  /// leases of others expire meanwhile.
   [[nodiscard]] virtual Instant Now() const = 0;
-  /// Time of day in milliseconds since 1970; may jump.
+  /// Wall clock time in milliseconds since 1970; may jump.
   [[nodiscard]] virtual std::int64_t UnixMs() const = 0;
-  /// Runs `task` later on the control thread. Safe from any thread.
+  /// Runs `task` later on the control thread. Safe to call from any thread.
   virtual void Post(std::function<void()> task) = 0;
-  /// Runs `task` on the control thread after `delay`. Only on that thread.
+  /// Runs `task` on the control thread after `delay`. Must be called on that
+  /// thread.
   virtual TimerId After(Duration delay, std::function<void()> task) = 0;
-  /// A timer that has fired is ignored.
+  /// Does nothing if the timer has already fired.
   virtual void Cancel(TimerId timer) = 0;
 };
 
--- a/packages/jobs/include/mustardproxy/jobs/job_gate.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_gate.h
@@ -11,19 +11,20 @@
 
 namespace mustardproxy::jobs {
 
-/// Lets traffic threads call the job service: each call goes to the control
-/// thread and waits for its result. Safe from any thread.
+/// Blocking access to the job service for traffic threads: each call is posted
+/// to the control thread and waits for the result. Thread-safe.
 class JobGate {
  public:
-  /// Chooses a queue of the desired state, or null. Runs on the control thread,
-  /// perhaps after the caller has given up: it must hold what it needs.
+  /// Selects a queue from the desired state; null if none matches. Runs on the
+  /// control thread, possibly after the caller has timed out, so it must own
+  /// everything it uses.
   using Chooser = std::function<const Queue*(const DesiredState&)>;
 
   JobGate(Executor* executor, JobService* service)
       : executor(executor), service(service) {}
 
-  /// @return the queue chosen; `kStarting` without a desired state,
-  ///   `kUnknownQueue` if there is none, `kDeadlineExceeded`
+  /// @return the selected queue, or `kStarting` without a desired state,
+  ///   `kUnknownQueue` if the chooser returned null, or `kDeadlineExceeded`
   [[nodiscard]] Result<Queue> Find(const Chooser& chooser, Duration timeout);
   [[nodiscard]] SubmitResult Submit(const Queue& queue, const JobId& id,
                                     JobSpec spec, Duration timeout);
--- a/packages/jobs/include/mustardproxy/jobs/job_node.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_node.h
@@ -18,20 +18,21 @@
 
 namespace mustardproxy::jobs {
 
-/// All that one process does for jobs: takes them in, answers for them, asks
-/// the policy service for others, and, if it is the owner, decides for all.
-/// Everything happens on the executor's thread; nothing here does I/O.
+/// The job scheduling part of one process: accepts jobs, answers queries about
+/// them, asks the policy service on behalf of other processes, and, as the
+/// owner of the placement group, schedules all jobs. Everything runs on the
+/// executor's thread; nothing here does I/O.
 class JobNode final : public JobService, public JobPeerHandler {
  public:
   class Builder;
   ~JobNode() override;
 
   void Start();
-  /// Gives up ownership and membership; what callers ask is still answered.
+  /// Gives up ownership and membership. Calls of callers are still answered.
   void Leave();
-  /// @return true if callers should be sent here
+  /// @return true if callers may be sent to this process
   [[nodiscard]] bool Ready() const;
-  /// @return true while this process decides for the placement group
+  /// @return true while this process schedules for the placement group
   [[nodiscard]] bool Owns() const;
 
   [[nodiscard]] std::shared_ptr<const DesiredState> Desired() const override;
@@ -61,19 +62,21 @@
   std::unique_ptr<Internals> state;
 };
 
-/// Makes a `JobNode`. All but the metrics must have been given, and outlive it.
+/// Builds a `JobNode`. Everything but the metrics is required. The objects
+/// passed by pointer must outlive the node.
 class JobNode::Builder {
  public:
   Builder& Self(ProcessId process, DataCenterId data_center,
                 Incarnation incarnation);
-  /// `ip:port` at which peers reach this process.
+  /// `ip:port` under which peers reach this process.
   Builder& PeerAddress(std::string address);
-  /// What this host may use; stronger hosts are preferred as owners.
+  /// Resources available to this process; larger hosts are preferred as owners.
   Builder& Strength(std::int64_t cpu_milli, std::int64_t memory_mb);
-  /// Writes a second that the store takes from all processes together; the
-  /// default suits a store of several hundred.
+  /// Writes per second that the store accepts from all processes together. The
+  /// default suits a store that takes several hundred.
   Builder& StoreWrites(std::int64_t per_second);
-  /// Workers that may be lost under one task before it is given up.
+  /// Number of workers that may be lost while running one task before the task
+  /// is given up.
   Builder& MaxLostWorkers(std::int32_t count);
   Builder& On(Executor* executor);
   Builder& Store(KeyValueStore* store);
--- a/packages/jobs/include/mustardproxy/jobs/job_peers.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_peers.h
@@ -15,23 +15,22 @@
 
 namespace mustardproxy::jobs {
 
-/// A job as its record stands in the store, or will stand there.
+/// A job with its record as stored, or as about to be stored.
 struct AnnouncedJob {
   JobId id;
   std::string record;
-  /// Of the write that stored it; 0 while that write is on its way, and may
-  /// still fail.
+  /// Revision of the write that stored it; 0 while that write is in flight and
+  /// may still fail.
   Revision revision = 0;
 };
 
-/// What the scheduling process knows of a job.
+/// What the owner of the placement group knows about a job.
 struct JobAnswer {
-  /// Nothing: it does not know the job (yet).
+  /// Empty if the job is not known, or not known yet.
   std::optional<JobStatus> status;
 };
 
-/// A key that is to be created on behalf of a process that can't reach the
-/// store.
+/// A request to create a key on behalf of a process that can't reach the store.
 struct CreateRequest {
   /// `job` or `cancel`, for the log.
   std::string kind;
@@ -41,18 +40,18 @@
   Duration timeout{0};
 };
 
-/// How that ended.
+/// Result of a `CreateRequest`.
 enum class CreateOutcome {
   /// The key exists now.
   kExists,
-  /// It was not created, and will not be.
+  /// It was not created and will not be.
   kNotDone,
   kUncertain,
 };
 
-/// Calls to the other processes of the cell. Each ends by one call of `done`
-/// on the control thread; errors are `kPeerLost`, and `kStarting` from a
-/// process that does not schedule, or not yet.
+/// Calls to the other processes of the cell. Each call ends with exactly one
+/// call of `done` on the control thread. Errors are `kPeerLost`, and
+/// `kStarting` from a process that does not schedule (yet).
 class JobPeers {
  public:
   template <typename T>
@@ -63,27 +62,28 @@
   JobPeers& operator=(const JobPeers&) = delete;
   virtual ~JobPeers() = default;
 
-  /// Tells the scheduling process of a job; lost without harm, since that
-  /// process also finds it in the store.
+  /// Informs the owner about a job. The announcement may be lost: the owner
+  /// also finds the job in the store.
   virtual void AnnounceJob(const std::string& address,
                            const AnnouncedJob& job) = 0;
-  /// The same for a cancellation.
+  /// Informs the owner about a cancellation; may be lost in the same way.
   virtual void AnnounceCancel(const std::string& address, const JobId& job) = 0;
   virtual void QueryJob(const std::string& address, const JobId& job,
                         Done<JobAnswer> done) = 0;
-  /// How many accepted jobs of the queue have started nothing.
+  /// Number of accepted jobs in the queue of which no task has started.
   virtual void QueryPending(const std::string& address, const QueueName& queue,
                             Done<std::int64_t> done) = 0;
-  /// Has that process create a key.
+  /// Lets the peer create a key.
   virtual void Create(const std::string& address, const CreateRequest& request,
                       Done<CreateOutcome> done) = 0;
-  /// Lets that process ask the policy service, which serves each host in turn.
+  /// Lets the peer ask the policy service, which serves one question at a time
+  /// per host.
   virtual void Ask(const std::string& address, const AdviceQuestion& question,
                    Done<Advice> done) = 0;
 };
 
-/// The other end: what peers ask of this process. Called on the control thread;
-/// `done` is to be called once, at once or later.
+/// Handles the calls of peers to this process. Called on the control thread;
+/// `done` must be called exactly once, immediately or later.
 class JobPeerHandler {
  public:
   template <typename T>
--- a/packages/jobs/include/mustardproxy/jobs/job_service.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_service.h
@@ -15,15 +15,15 @@
 
 namespace mustardproxy::jobs {
 
-/// How handing in or cancelling a job ended.
+/// Result of submitting or cancelling a job.
 enum class SubmitOutcome {
-  /// Stored, now or before; it will be done.
+  /// Stored, now or earlier; it will be carried out.
   kAccepted,
-  /// Not stored, and will not be: the job never runs.
+  /// Not stored and will not be: the job never runs.
   kNotAccepted,
-  /// It can not be told. The same id may be handed in again.
+  /// The outcome is not known. The same id may be submitted again.
   kUnknown,
-  /// No such job, for a cancellation.
+  /// Cancellation only: there is no such job.
   kNoSuchJob,
 };
 
@@ -31,12 +31,12 @@
   SubmitOutcome end = SubmitOutcome::kUnknown;
   std::error_code reason;
   std::string detail;
-  /// When to come back, if not accepted.
+  /// When to retry, if not accepted.
   Duration retry_after{0};
 };
 
-/// What callers can do, at any process. `done` is called once, at the latest
-/// when `timeout` has passed. Only on the control thread.
+/// Operations that every process offers to callers. `done` is called exactly
+/// once, at the latest after `timeout`. Must be called on the control thread.
 class JobService {
  public:
   JobService() = default;
@@ -44,15 +44,16 @@
   JobService& operator=(const JobService&) = delete;
   virtual ~JobService() = default;
 
-  /// @return what operators want, or null before the first
+  /// @return the desired state set by operators, or null before the first one
+  ///   is read
   [[nodiscard]] virtual std::shared_ptr<const DesiredState> Desired() const = 0;
   virtual void Submit(const Queue& queue, JobId id, JobSpec spec,
                       Duration timeout,
                       std::function<void(SubmitResult)> done) = 0;
   virtual void Cancel(const JobId& id, Duration timeout,
                       std::function<void(SubmitResult)> done) = 0;
-  /// Ends with the state, or `kUnknownRequest` if there is no such job, or
-  /// `kPlatformUnavailable` if that can't be found out.
+  /// Passes the state to `done`, or `kUnknownRequest` if there is no such job,
+  /// or `kPlatformUnavailable` if the state can't be determined.
   virtual void State(const JobId& id, Duration timeout,
                      std::function<void(Result<JobStatus>)> done) = 0;
   virtual void Pending(const QueueName& queue, Duration timeout,
--- a/packages/jobs/include/mustardproxy/jobs/placement_adviser.h
+++ b/packages/jobs/include/mustardproxy/jobs/placement_adviser.h
@@ -12,12 +12,12 @@
 
 namespace mustardproxy::jobs {
 
-/// Asks which of these workers may run a step.
+/// A question to the policy service: which of these workers may run a step.
 struct AdviceQuestion {
   StepRef step;
-  /// 100 at most.
+  /// At most 100.
   std::vector<WorkerId> workers;
-  /// When the answer is given up on.
+  /// The question fails if it is not answered within this time.
   Duration timeout{0};
 };
 
@@ -27,16 +27,16 @@
   std::string ticket;
 };
 
-/// The workers that may run the step; the others may not in this life of
-/// theirs.
+/// Answer to a question. The workers that are not listed may not run the step
+/// in their current incarnation.
 struct Advice {
   std::vector<Permission> permitted;
-  /// How long the permissions hold from the answer on.
+  /// How long the permissions are valid after the answer.
   Duration validity{0};
 };
 
-/// Client of the policy service. It serves one question at a time for each
-/// calling host. `done` is called once, on the control thread.
+/// Client of the policy service, which serves one question at a time for each
+/// calling host. `done` is called exactly once, on the control thread.
 class PlacementAdviser {
  public:
   PlacementAdviser() = default;
--- a/packages/jobs/include/mustardproxy/jobs/platform_schema.h
+++ b/packages/jobs/include/mustardproxy/jobs/platform_schema.h
@@ -9,7 +9,7 @@
 
 namespace mustardproxy::jobs {
 
-/// Where and how others keep what this product reads in the store.
+/// Keys and formats of the entries that other systems write to the store.
 class PlatformSchema {
  public:
   PlatformSchema() = default;
@@ -17,13 +17,14 @@
   PlatformSchema& operator=(const PlatformSchema&) = delete;
   virtual ~PlatformSchema() = default;
 
-  /// Key of the desired state that operators write.
+  /// Key of the desired state, written by operators.
   [[nodiscard]] virtual std::string_view DesiredStateKey() const = 0;
   [[nodiscard]] virtual Result<DesiredState> ParseDesiredState(
       std::string_view value) const = 0;
-  /// Prefix of the entries under which workers register, each by its id.
+  /// Prefix of the entries under which workers register, each with its id as
+  /// suffix.
   [[nodiscard]] virtual std::string_view WorkerPrefix() const = 0;
-  /// @param id what follows the prefix in the key
+  /// @param id part of the key after the prefix
   [[nodiscard]] virtual Result<WorkerInfo> ParseWorker(
       std::string_view id, std::string_view value) const = 0;
 };
--- a/packages/jobs/include/mustardproxy/jobs/waitable_value.h
+++ b/packages/jobs/include/mustardproxy/jobs/waitable_value.h
@@ -10,18 +10,18 @@
 
 namespace mustardproxy::jobs {
 
-/// A value that a traffic thread waits for and the control thread sets.
+/// A value that the control thread sets once and a traffic thread waits for.
 template <typename T>
 class WaitableValue {
  public:
-  /// Later values than the first are dropped.
+  /// Only the first value counts; later ones are dropped.
   void Set(T value) {
     const std::lock_guard lock(this->mutex);
     if (!this->value) this->value = std::move(value);
     this->changed.notify_one();
   }
 
-  /// @return nothing if none came within `limit`
+  /// @return the value, or nothing if none was set within `limit`
   [[nodiscard]] std::optional<T> Wait(Duration limit) {
     std::unique_lock lock(this->mutex);
     this->changed.wait_for(lock, limit,
--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -13,20 +13,20 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Pause before a process stands for election, for each that is preferred to
-/// it: a round trip to the store and some, so that the first one has won by
-/// then and the others see it.
+/// Delay before a process runs for election, per process preferred to it: more
+/// than a round trip to the store, so that the preferred one has won and the
+/// others have seen it.
 constexpr Duration kElectionStagger = milliseconds(60);
 constexpr std::size_t kMaxStaggers = 5;
 
-/// Stronger hosts are preferred as owners; the name decides between equals.
+/// Larger hosts are preferred as owners; ties are broken by name.
 bool IsPreferredOwner(const NodeRecord& a, const NodeRecord& b) {
   return std::make_tuple(-a.cpu_milli, -a.memory_mb, a.name) <
          std::make_tuple(-b.cpu_milli, -b.memory_mb, b.name);
 }
 
-/// While hosts are restarted in turn, those that came last will not be stopped
-/// again soon, and the group changes hands less often.
+/// During a rolling restart, the processes that joined last will not be stopped
+/// again soon. Preferring them reduces the number of ownership changes.
 bool IsBetterSuccessor(const Registration& a, const Registration& b) {
   return std::make_tuple(-a.node.cpu_milli, -a.node.memory_mb, -a.revision) <
          std::make_tuple(-b.node.cpu_milli, -b.node.memory_mb, -b.revision);
@@ -73,7 +73,7 @@
 void CellMember::OnLease(Instant asked, const Result<StoreLease>& granted) {
   if (this->leaving) return;
   if (!granted) {
-    // Tried many times a second while the store is away: told of once.
+    // Retried many times a second while the store is unavailable; logged once.
     if (!std::exchange(this->grant_failing, true)) {
       this->log->Write("cell", "lease-not-granted",
                        {{"reason", granted.error().message()}});
@@ -129,7 +129,7 @@
                    [this, renewed, asked](const Result<StoreLease>& answer) {
                      this->OnRenewed(renewed, asked, answer);
                    }));
-  // The next one does not wait for the answer, which may never come.
+  // The next renewal does not wait for the answer, which may never arrive.
   this->RenewLater();
 }
 
@@ -141,7 +141,7 @@
     this->refused = false;
     return;
   }
-  // Silence is told by the time since the last renewal.
+  // A silent store is detected by the time since the last renewal.
   const Duration took = this->executor->Now() - asked;
   if (took < kStoreSilenceTimeout) this->refused = true;
   if (answer.error() == Error::kUnknownRequest) {
@@ -183,7 +183,8 @@
 
 void CellMember::OnOwnerKey(const StoreEvent& event) {
   if (event.deleted) {
-    // An older change than the one that made us owner tells nothing.
+    // Ignore a change that is older than the write that made this process the
+    // owner.
     if (event.item.revision < this->token) return;
     this->owner.reset();
     this->Depose("the owner's key is gone");
@@ -201,7 +202,7 @@
   const bool newer = event.item.revision > this->token;
   const bool ours = *node == this->self && event.item.lease == this->lease;
   if (this->token == 0 && ours) {
-    // Our write had no answer and was done later.
+    // The answer to our write was lost, and the write was applied later.
     this->BecomeOwner(event.item.revision);
   } else if (this->token != 0 && newer) {
     this->Depose("there is a newer owner");
@@ -247,8 +248,7 @@
     return;
   }
   Transaction transaction;
-  // A key whose owner was started anew is taken over as it stands, before its
-  // lease lapses.
+  // If the owner was restarted, its key is taken over before its lease expires.
   transaction.conditions.push_back(
       {keys::Owner(), this->owner ? this->owner->token : 0});
   transaction.puts.push_back(
@@ -266,10 +266,11 @@
       this->BecomeOwner(result.revision);
       return;
     case CommitEnd::kConflict:
-      // Another one was first, and the mirror tells soon who. Failure: or the
-      // former owner's key has just gone with its lease; the mirror told so
-      // while the write was on its way, nothing more comes, and the group stays
-      // without an owner. So things are looked at once more below.
+      // Another process was first, and the mirror soon shows which. Failure:
+      // the former owner's key was deleted with its lease while the write was
+      // in flight; the mirror has reported that already, no further event
+      // follows, and the group stays without an owner. So the key is read again
+      // below.
     case CommitEnd::kUncertain:
       this->VerifyElection();
       return;
@@ -284,8 +285,8 @@
 }
 
 void CellMember::VerifyElection() {
-  // Failure: the answer to the write that made us owner is lost. The key shows
-  // who made it; our lease is in no other process's hands.
+  // Failure: the answer to the write that made this process the owner is lost.
+  // The key shows who wrote it, because no other process uses our lease.
   this->store->Read(
       keys::Owner(), this->guard.Wrap([this](const Result<StoreItem>& item) {
         this->electing = false;
@@ -321,8 +322,9 @@
 void CellMember::Resign(std::string_view reason) {
   this->Depose(reason);
   if (this->lease == 0 || this->leaving) return;
-  // Failure: a process that has stopped to act as owner keeps the owner's key
-  // alive with its lease, and nobody takes over. The key goes with the lease.
+  // Failure: a process that no longer acts as owner keeps the owner's key alive
+  // with its lease, and no other process takes over. Ending the lease deletes
+  // the key.
   this->store->EndLease(this->lease);
   this->lease = 0;
   this->Acquire();
@@ -348,9 +350,9 @@
 }
 
 void CellMember::HandOver(const Registration& successor) {
-  // The group has an owner at every moment. With the lease ended and an
-  // election after it nothing would be placed for three answers of the store
-  // and the pauses of the election.
+  // Handing over keeps the group owned at all times. Ending the lease and
+  // electing a new owner would stop placement for three answers of the store
+  // plus the election delays.
   this->log->Write(
       "cell", "handing-over",
       {{"token", this->token}, {"successor", successor.node.name.Text()}});
@@ -359,8 +361,8 @@
   transaction.puts.push_back(
       {keys::Owner(), EncodeNode(successor.node), successor.lease});
   this->store->Commit(std::move(transaction),
-                      // However it ended: a key that is still ours goes with
-                      // the lease, and the others elect.
+                      // Regardless of the result: a key that is still ours is
+                      // deleted with the lease, and the others elect an owner.
                       this->guard.Wrap([this](const CommitResult& /*result*/) {
                         this->EndMembership();
                       }));
--- a/packages/jobs/src/cell_member.h
+++ b/packages/jobs/src/cell_member.h
@@ -16,7 +16,7 @@
 
 namespace mustardproxy::jobs {
 
-/// Who owns the placement group.
+/// The owner of the placement group.
 struct Ownership {
   NodeRecord owner;
   FencingToken token = 0;
@@ -24,28 +24,30 @@
   friend bool operator==(const Ownership&, const Ownership&) = default;
 };
 
-/// A process of the cell as its key in the store shows it.
+/// A process of the cell as registered in the store.
 struct Registration {
   NodeRecord node;
-  /// Its key goes with this lease.
+  /// Lease to which its key is attached.
   StoreLeaseId lease = 0;
-  /// Of its key: the higher, the later the process has come.
+  /// Revision of its key; later registrations have higher revisions.
   Revision revision = 0;
 };
 
-/// This process among those of the cell: keeps its lease at the store, knows
-/// the others, and takes part in choosing the owner of the placement group.
+/// Membership of this process in the cell: keeps its lease at the store, tracks
+/// the other processes, and takes part in the election of the placement group's
+/// owner.
 ///
-/// The owner is whoever created the owner's key, under its lease. The revision
-/// of that write is the fencing token: unique and rising.
+/// The owner is the process that created the owner's key, attached to its
+/// lease. The revision of that write is the fencing token: unique and
+/// increasing.
 class CellMember {
  public:
   struct Handlers {
-    /// This process owns the group now.
+    /// This process has become the owner of the group.
     std::function<void(FencingToken)> on_elected;
-    /// It does not any more, or can't be sure.
+    /// It is no longer the owner, or can't be sure to be.
     std::function<void(std::string_view reason)> on_deposed;
-    /// Owner or processes have changed.
+    /// The owner or the set of processes has changed.
     std::function<void()> on_change;
   };
 
@@ -53,11 +55,11 @@
              NodeRecord self, Handlers handlers);
 
   void Start();
-  /// Gives the ownership up, if it has it, for another process or a fresh start
-  /// of its own.
+  /// Gives up the ownership, if held, so that another process or a new
+  /// ownership of this process can follow.
   void Resign(std::string_view reason);
-  /// Gives all up, so that another process takes over without waiting for the
-  /// lease: hands the ownership to another process, if there is one.
+  /// Leaves the cell and hands the ownership to another process, if there is
+  /// one, so that no process has to wait for the lease to expire.
   void Leave();
 
   [[nodiscard]] const std::map<ProcessId, Registration>& Nodes() const {
@@ -67,11 +69,11 @@
     return this->owner;
   }
   [[nodiscard]] bool Owns() const { return this->token != 0; }
-  /// @return when the last renewal was sent that the store has confirmed
+  /// @return when the last renewal that the store has confirmed was sent
   [[nodiscard]] Instant RenewedAt() const { return this->renewed_at; }
-  /// @return when the last call was sent that the store has answered
+  /// @return when the last call that the store has answered was sent
   [[nodiscard]] Instant StoreAliveAt() const;
-  /// @return true if the store has answered so lately that a write to it is
+  /// @return true if the store has answered recently enough for a write to be
   ///   worth sending
   [[nodiscard]] bool StoreAnswers() const;
 
@@ -87,8 +89,8 @@
   void OnCell(const StoreEvent& event);
   void OnOwnerKey(const StoreEvent& event);
   void LogMalformed(const StoreEvent& event);
-  /// @return true if the owner's process has been started anew, so that its
-  ///   former run, which owns the key, is over for certain
+  /// @return true if the owner's process has restarted, so that the incarnation
+  ///   that owns the key has certainly ended
   [[nodiscard]] bool OwnerRestarted() const;
   void ConsiderElection();
   Duration ElectionDelay() const;
@@ -97,7 +99,8 @@
   void VerifyElection();
   void BecomeOwner(Revision revision);
   void Depose(std::string_view reason);
-  /// @return who should own the group after this process; null if it is alone
+  /// @return the process that should own the group next; null if this process
+  ///   is alone
   [[nodiscard]] const Registration* Successor() const;
   void HandOver(const Registration& successor);
   void EndMembership();
@@ -113,12 +116,12 @@
   bool renewing = false;
   std::map<ProcessId, Registration> nodes;
   std::optional<Ownership> owner;
-  /// Not zero while this process owns the group.
+  /// Nonzero while this process owns the group.
   FencingToken token = 0;
   bool electing = false;
   /// The last renewal was refused.
   bool refused = false;
-  /// The store has not granted a lease since this process has none.
+  /// The last request for a lease has failed.
   bool grant_failing = false;
   bool leaving = false;
   CallbackGuard guard;
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -10,23 +10,23 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// How old the last look at the accepted jobs may be for their number to be
-/// told: the users allow 2 s, and a watch takes up to 1.5 s.
+/// Maximum age of the view of accepted jobs for their number to be reported.
+/// The number may be 2 s old, and a watch takes up to 1.5 s.
 constexpr Duration kMaxJobViewAge = milliseconds(2000);
-/// How old the last look at the workers' entries may be when a start leaves: a
-/// worker that has shrunk counts as such 4.5 s later.
+/// Maximum age of the view of the workers' entries when a start is sent. A
+/// reduction of a worker's capacity must be respected after 4.5 s.
 constexpr Duration kMaxWorkerViewAge = milliseconds(4000);
-/// How long the room of a job that is being stored is kept: longer than the
-/// slowest answers on the users' pages (0.4 s) and a peer's delay together. One
-/// that is stored later is placed anew.
+/// How long the capacity of a job that is being stored is kept: longer than the
+/// slowest answers of a working store (0.4 s) and the delay of a peer together.
+/// A job that is stored later is placed again.
 constexpr Duration kProposalTimeout = milliseconds(1500);
-/// Longest age that a job's acceptance time is believed to show; beyond, a
-/// clock has jumped.
+/// Maximum age that a job's acceptance time may indicate; beyond it, a clock
+/// must have jumped.
 constexpr Duration kMaxPlausibleAge = seconds(600);
 
-/// How long a run that a former owner ordered may last at a worker that can't
-/// be reached: that owner renews for `kOwnerOutageTolerance` at most after its
-/// lease at the store, and the last renewal lasts as long as a worker's lease.
+/// @return how long a run ordered by a former owner may last on an unreachable
+///   worker: that owner renews for at most `kOwnerOutageTolerance` after its
+///   lease at the store, and the last renewal lasts for the lease of a worker
 Duration MaxInheritedRunTime() {
   const auto lease = static_cast<double>(kWorkerLease.count());
   return kOwnerOutageTolerance +
@@ -114,9 +114,9 @@
 void GroupOwner::Start() {
   this->context.log->Write("owner", "taking-over",
                            {{"token", this->context.token}});
-  // Side by side: nothing is placed until all three are read. Only an owner
-  // changes progress, or takes a job away, and the former one's writes fail by
-  // now; so what is read at different moments fits together.
+  // Read concurrently: nothing is placed until all three are complete. Only an
+  // owner changes progress or removes a job, and writes of the former owner
+  // already fail, so data read at different times is consistent.
   this->intake->Start();
   this->stored->Read();
   this->workers->Start();
@@ -142,7 +142,7 @@
       this->OnCancel(id);
     }
   } else if (key.starts_with(keys::kJobs) && !event.deleted) {
-    // One that is gone has ended: an owner has removed it.
+    // A deleted job has ended: an owner removed it.
     this->OnJob(JobId(key.substr(keys::kJobs.size())), event.item.value);
   }
 }
@@ -152,9 +152,9 @@
     this->OnProposed(job.id, job.record);
     return;
   }
-  // Failure: a process learns late that its write was done, announces the job,
-  // and meanwhile the job has ended under a former owner; it would run again.
-  // A job that was stored before this ownership is found by reading, or has
+  // Failure: a process learns late that its write succeeded and announces the
+  // job, which has ended under a former owner meanwhile; it would run again. A
+  // job stored before this ownership is found by reading the store, or has
   // ended.
   if (job.revision > this->context.token) this->OnJob(job.id, job.record);
 }
@@ -163,10 +163,10 @@
   const bool known =
       this->context.jobs.Find(id) != nullptr || this->ended->Find(id);
   if (!this->loaded || known) return;
-  // The job's start is written down while the job itself is being stored, which
-  // spares a slow store's answer.
+  // The start is stored while the job itself is being stored, which saves one
+  // answer of a slow store.
   JobEntry* entry = this->AddJob(id, record);
-  // One that was cancelled is in the store for certain.
+  // A cancelled job is certainly in the store.
   if (entry == nullptr || IsFinal(entry->state)) return;
   entry->stored = false;
   this->context.executor->After(kProposalTimeout, this->guard.Wrap([this, id] {
@@ -234,7 +234,7 @@
     this->early_cancellations.insert(id);
     return;
   }
-  // Only a job that is in the store can be cancelled.
+  // Only a job in the store can be cancelled.
   entry->stored = true;
   if (!this->context.jobs.Cancel(entry)) return;
   // The cancellation itself is stored already.
@@ -258,8 +258,8 @@
     this->context.log->Write(
         "workers", "entry-broken",
         {{"worker", id}, {"reason", info.error().message()}});
-    // Failure: something else overwrites a worker's entry, and tasks go on
-    // being started at a worker that nothing names any more.
+    // Failure: a worker's entry is overwritten by something else, and tasks are
+    // still started on a worker that no entry names.
     this->MarkUnlisted(session, event.item.revision);
     return;
   }
@@ -279,7 +279,7 @@
   WorkerSession* session = this->incarnations->NoteEntry(
       info, this->elected_at + MaxInheritedRunTime());
   if (session == nullptr) return;
-  // Those found at a takeover are told of by their number.
+  // Workers found during a takeover are only logged as a total.
   if (session->Number() >= first_new && this->workers->Listed()) {
     this->context.log->Write("workers", "worker-listed",
                              {{"worker", Text(info.incarnation)},
@@ -312,7 +312,7 @@
   entry->progress_revision = item->revision;
   entry->shown = entry->state;
   if (IsFinal(entry->state)) {
-    // Written so by the version before, which kept ends as progress.
+    // Written by the previous version, which stored ends as progress.
     this->runs->StoreFinal(entry);
   } else {
     this->InheritRuns(entry);
--- a/packages/jobs/src/group_owner.h
+++ b/packages/jobs/src/group_owner.h
@@ -28,9 +28,9 @@
 
 namespace mustardproxy::jobs {
 
-/// One ownership of a placement group, from the moment its token was drawn
-/// until a newer owner is met: reads what is stored, fences the workers, and
-/// from then on decides for all jobs.
+/// One ownership of a placement group, from the acquisition of its token until
+/// a newer owner is detected. Reads the stored state, fences the workers, and
+/// then schedules all jobs.
 class GroupOwner {
  public:
   struct Parts {
@@ -57,41 +57,42 @@
   void Start();
   void SetDesired(std::shared_ptr<const DesiredState> desired);
   void SetClients(const std::vector<AdviceClient>& clients);
-  /// @return true once all that is stored has been read
+  /// @return true once all stored state has been read
   [[nodiscard]] bool Loaded() const { return this->loaded; }
-  /// @return true if it has heard lately which jobs were accepted; a former
-  ///   owner that is cut off from the store has not, and must not count them
+  /// @return true if the view of accepted jobs is recent. A former owner that
+  ///   is cut off from the store does not learn of new jobs and must not count
+  ///   them.
   [[nodiscard]] bool HasFreshJobView() const;
 
-  /// A process has stored this job, or is storing it.
+  /// Called when a process has stored this job or is storing it.
   void OnJobAnnounced(const AnnouncedJob& job);
   void OnCancel(const JobId& id);
-  /// @return what callers are told; nothing for an unknown job
+  /// @return the status reported to callers; nothing for an unknown job
   [[nodiscard]] std::optional<JobStatus> StatusOf(const JobId& id) const;
   [[nodiscard]] std::int64_t PendingIn(const QueueName& queue) const;
 
  private:
-  /// The job is in the store.
+  /// Called for a job that is in the store.
   void OnJob(const JobId& id, std::string_view record);
-  /// The job is being stored.
+  /// Called for a job that is being stored.
   void OnProposed(const JobId& id, std::string_view record);
-  /// @return null if the record can't be read
+  /// @return null if the record can't be decoded
   JobEntry* AddJob(const JobId& id, std::string_view record);
   void ConfirmStored(JobEntry* entry);
-  /// Gives the room of a job back that has not been stored for long.
+  /// Releases the capacity of a job that was not stored in time.
   void ParkIfNotStored(const JobId& id);
   void OnIntake(const StoreEvent& event);
   void OnWorker(const StoreEvent& event);
   void AddWorker(const WorkerInfo& info);
   /// See OwnerContext.
   bool HasFreshWorkerView();
-  /// No entry names the worker any more: nothing is started there.
+  /// Stops starts on a worker that no entry names any more.
   void MarkUnlisted(WorkerSession* session, Revision revision);
-  /// Applies what former owners have stored of a job's progress, if anything.
+  /// Applies the progress of a job that former owners have stored, if any.
   void ClaimProgress(JobEntry* entry);
-  /// Forgets jobs that were proposed and never stored.
+  /// Removes jobs that were proposed and never stored.
   void RemoveExpiredProposals();
-  /// Goes to work once jobs, progress and workers have all been read.
+  /// Starts scheduling once jobs, progress and workers have all been read.
   void FinishLoading();
   void TakeOver();
   void InheritRuns(JobEntry* entry);
@@ -101,9 +102,9 @@
 
   const PlatformSchema* schema;
   OwnerContext context;
-  /// When the token was drawn.
+  /// When the fencing token was acquired.
   Instant elected_at;
-  /// Jobs that were proposed and not stored in time, the oldest first.
+  /// Jobs that were proposed and not stored in time, oldest first.
   std::deque<std::pair<Instant, JobId>> parked;
   bool loaded = false;
   /// Cancellations that were read before their jobs.
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -12,26 +12,26 @@
 
 /// Each entry takes two conditions and a put.
 constexpr std::size_t kMaxBatch = kMaxTransactionEntries / 3;
-/// Transactions under way at once: one that gets no answer must not hold up
-/// all others.
+/// Maximum number of concurrent transactions; a transaction without an answer
+/// must not block all others.
 constexpr std::size_t kMaxInFlight = 4;
-/// A write without an answer for so long is also given to another process.
-/// Above the answers of a store that is slow for everybody (0.4 s), where that
-/// would gain nothing.
+/// A write that is unanswered for this long is also given to another process.
+/// Exceeds the answers of a store that is slow for all processes (0.4 s), where
+/// another process would not help.
 constexpr Duration kHedgeDelay = milliseconds(450);
-/// From here on it pays to place a job while it is being stored. The usual 4 ms
-/// are a tenth of the pause between two writes of progress.
+/// From this answer time on, a job is placed while it is being stored. The
+/// usual 4 ms are a tenth of the interval between two progress writes.
 constexpr Duration kSlowAnswerThreshold = milliseconds(30);
-/// Pause between two looks at whether the store has answered.
+/// Interval between checks of whether the store has answered.
 constexpr Duration kGatePollInterval = milliseconds(20);
-/// Processes that are asked for one entry.
+/// Maximum number of processes that are asked for one entry.
 constexpr std::size_t kMaxHelpers = 2;
-/// Longest wait for one of them.
+/// Timeout of a call to one of them.
 constexpr Duration kHelperTimeout = milliseconds(600);
-/// How long one that does not answer is left out.
+/// How long a process that did not answer is not asked.
 constexpr Duration kHelperBackoff = seconds(1);
-/// When to come back while the store is away: outages last seconds, and
-/// callers hand a job in for a few seconds only.
+/// Retry delay for callers while the store is unavailable: outages last
+/// seconds, and callers retry a submission for a few seconds only.
 constexpr Duration kStoreRetryAfter = seconds(1);
 
 const StoreItem* FindItem(const CommitResult& result, std::string_view key) {
@@ -72,8 +72,9 @@
 }
 
 void Intake::TryCreate(const EntryPtr& entry) {
-  // Failure: the store is away, each write to it ends uncertain, and callers
-  // must be told so, who could have come back had nothing been sent.
+  // Failure: while the store is unavailable, every write to it ends uncertain,
+  // and callers receive an unknown outcome instead of a refusal after which
+  // they could retry.
   if (this->CheckGate() == WriteGate::Answer::kRefuse) {
     this->Continue(entry);
     return;
@@ -136,7 +137,7 @@
     if (!entry->done) continue;
     ++entry->in_flight;
     transaction.conditions.push_back({entry->request.key, 0});
-    // The end of a job takes the place of its key.
+    // The end of a job replaces its key.
     transaction.conditions.push_back({keys::OfEnded(entry->request.job), 0});
     transaction.puts.push_back({entry->request.key, entry->request.value, 0});
     batch->push_back(std::move(entry));
@@ -197,7 +198,7 @@
     } else if (FindItem(result, keys::OfEnded(entry->request.job)) != nullptr) {
       this->Accept(entry, "ended", std::nullopt);
     } else {
-      // Nothing was written because of another one of the batch.
+      // Nothing was written because of another entry of the batch.
       this->waiting.push_back(entry);
     }
   }
@@ -208,8 +209,8 @@
   ++entry->tries;
   if (this->AskHelper(entry) || entry->in_flight > 0) return;
   const bool away = this->CheckGate() == WriteGate::Answer::kRefuse;
-  // "Not accepted" would be untrue if an earlier write may still be done; then
-  // the caller is told at its deadline, or as soon as it is known.
+  // "Not accepted" would be wrong if an earlier write may still be applied. The
+  // caller is then answered at its deadline, or once the outcome is known.
   if (!entry->uncertain && (away || entry->helpers.empty())) {
     this->GiveUp(entry, Error::kStoreUnavailable);
     return;
@@ -235,8 +236,8 @@
   const auto helper = this->NextHelper(entry);
   if (!helper) return false;
   // Failure: a data centre is cut off, the helper is on the other side, and a
-  // caller who could come back elsewhere is told that nobody knows. So only one
-  // that has just answered a question gets the key to create.
+  // caller that could retry elsewhere receives an unknown outcome. So the key
+  // is sent only to a helper that has just answered a query.
   ++entry->in_flight;
   this->parts.peers->QueryJob(
       *helper, entry->request.job,
@@ -286,7 +287,7 @@
     this->Accept(entry, "by a peer", std::nullopt);
     return;
   }
-  // A peer that gave no answer may have sent the write.
+  // A peer without an answer may have sent the write.
   if (!end || end.value() == CreateOutcome::kUncertain) entry->uncertain = true;
   this->Continue(entry);
 }
@@ -308,7 +309,7 @@
 
 void Intake::GiveUp(const EntryPtr& entry, std::error_code reason) {
   if (!entry->done) return;
-  // What is on its way might be written later.
+  // A write in flight may still be applied.
   const bool unknown = entry->uncertain || entry->in_flight > 0;
   this->parts.log->Write(
       "intake", "not-stored",
--- a/packages/jobs/src/intake.h
+++ b/packages/jobs/src/intake.h
@@ -21,14 +21,14 @@
 
 namespace mustardproxy::jobs {
 
-/// Stores what callers hand in, whichever process they reach: a job is accepted
-/// once its key is created, and the same id is one job however often and
-/// wherever it comes, also after it has ended. Callers that come together share
-/// a transaction.
+/// Stores the jobs and cancellations that callers submit to any process. A job
+/// is accepted once its key is created. The same id is one job, no matter how
+/// often and to which processes it is submitted, also after it has ended.
+/// Concurrent submissions share a transaction.
 ///
-/// Creating a key twice does no harm. So where the store refuses this process
-/// or is silent towards it, another process is asked to create the key, which
-/// also settles a write of ours whose answer is lost.
+/// Creating a key twice is harmless. So if the store refuses this process or
+/// does not answer it, another process is asked to create the key, which also
+/// settles a write of this process whose answer is lost.
 class Intake {
  public:
   using Done = std::function<void(SubmitResult)>;
@@ -38,16 +38,16 @@
     KeyValueStore* store = nullptr;
     JobPeers* peers = nullptr;
     EventLog* log = nullptr;
-    /// @return true unless the store turns this process away or has been silent
-    ///   for long
+    /// @return true unless the store refuses this process or has been silent
+    ///   for too long
     std::function<bool()> store_answers;
-    /// @return when the last other call was sent that the store has answered
+    /// @return when the last other call that the store has answered was sent
     std::function<Instant()> store_alive_at;
-    /// @return processes that may create a key instead, the best first
+    /// @return processes that may create a key instead, in order of preference
     std::function<std::vector<std::string>()> helpers;
     /// A write that creates the key was sent to a store that answers slowly.
     std::function<void(const CreateRequest&)> on_sent;
-    /// A key is known to exist, created by that revision.
+    /// The key is known to exist, created at that revision.
     std::function<void(const CreateRequest&, Revision)> on_exists;
   };
 
@@ -55,7 +55,7 @@
 
   /// Creates a key unless it exists.
   void Create(CreateRequest request, Done done);
-  /// The same on behalf of a peer: nobody else is asked.
+  /// Creates a key on behalf of a peer, without asking other processes.
   void CreateForPeer(CreateRequest request, Done done);
 
  private:
@@ -65,9 +65,10 @@
     Done done;
     /// Processes that may still be asked.
     std::vector<std::string> helpers;
-    /// A write of it was sent and not answered, here or by another process.
+    /// A write of the key was sent, here or by another process, and is
+    /// unanswered.
     bool uncertain = false;
-    /// Calls about it that are on their way, here and at other processes.
+    /// Calls in flight for this entry, here and at other processes.
     std::int32_t in_flight = 0;
     std::int32_t tries = 0;
   };
@@ -76,13 +77,13 @@
   /// @param helpers processes that may be asked to create the key instead
   EntryPtr Begin(CreateRequest request, std::vector<std::string> helpers,
                  Done done);
-  /// Has the key written here, or elsewhere while the store is away.
+  /// Writes the key, or asks another process while the store is unavailable.
   void TryCreate(const EntryPtr& entry);
   /// @return whether a write is worth sending now
   WriteGate::Answer CheckGate();
   void Flush();
   void ScheduleFlush();
-  /// Nothing has come of waiting for the store.
+  /// Stops waiting for the store and continues each entry elsewhere.
   void RejectWaiting();
   Transaction TakeBatch(std::vector<EntryPtr>* batch);
   void OnTransactionEnd(const std::vector<EntryPtr>& batch, Instant sent,
@@ -91,7 +92,7 @@
                    const CommitResult& result);
   void OnConflict(const std::vector<EntryPtr>& batch,
                   const CommitResult& result);
-  /// Asks the next helper, or gives up, or tries again later.
+  /// Asks the next helper, gives up, or retries later.
   void Continue(const EntryPtr& entry);
   bool AskHelper(const EntryPtr& entry);
   std::optional<std::string> NextHelper(const EntryPtr& entry);
@@ -109,10 +110,10 @@
   std::deque<EntryPtr> waiting;
   std::size_t in_flight = 0;
   WriteGate gate;
-  /// A look at the gate is due soon, as entries wait behind it.
+  /// A check of the gate is scheduled because entries wait for it.
   bool flush_due = false;
   bool holding = false;
-  /// Until when helpers are left out that did not answer.
+  /// Helpers that did not answer, and until when they are not asked.
   std::map<std::string, Instant> unavailable_helpers;
   CallbackGuard guard;
 };
--- a/packages/jobs/src/job_gate.cc
+++ b/packages/jobs/src/job_gate.cc
@@ -9,10 +9,10 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Beyond the time in which the service answers by itself.
+/// Added to the caller's timeout, within which the service answers by itself.
 constexpr Duration kReplyMargin = std::chrono::milliseconds(100);
 
-/// Has `call` run on the control thread with a callback, and waits for that.
+/// Runs `call` on the control thread and waits for its callback.
 template <typename T>
 std::optional<T> Await(Executor* executor, Duration timeout,
                        std::function<void(std::function<void(T)>)> call) {
--- a/packages/jobs/src/job_lookup.cc
+++ b/packages/jobs/src/job_lookup.cc
@@ -59,7 +59,7 @@
         } else if (item) {
           search->done(make_error_code(Error::kMalformedReply));
         } else {
-          // Not begun, or ended since its job was read.
+          // Not started, or ended since its job was read.
           this->ReadEnd(search, JobStatus{JobState::kQueued, {}});
         }
       }));
--- a/packages/jobs/src/job_lookup.h
+++ b/packages/jobs/src/job_lookup.h
@@ -13,20 +13,21 @@
 
 namespace mustardproxy::jobs {
 
-/// Finds out the state of a job from the store alone, while the owner can't be
-/// asked or has not heard of the job.
+/// Determines the state of a job from the store alone, when the owner can't be
+/// asked or does not know the job.
 ///
-/// Its keys are read one by one: a job is there until its end takes its place,
-/// so one that is missed is found at the next. Progress alone tells nothing: it
-/// may be that of a job that is still being stored.
+/// The keys are read one after the other. A job's key exists until the key of
+/// its end replaces it, so a job that is missed at one key is found at the
+/// next. Progress alone is no evidence, because its job may still be in the
+/// process of being stored.
 class JobLookup {
  public:
   using Done = std::function<void(Result<JobStatus>)>;
 
   JobLookup(Executor* executor, KeyValueStore* store);
 
-  /// Ends with the state, `kUnknownRequest`, or `kPlatformUnavailable` once
-  /// `timeout` has passed.
+  /// Passes the state to `done`, or `kUnknownRequest`, or
+  /// `kPlatformUnavailable` once `timeout` has passed.
   void Find(const JobId& id, Duration timeout, Done done);
 
  private:
@@ -40,9 +41,9 @@
   void ReadProgress(const SearchPtr& search);
   void ReadCancel(const SearchPtr& search, const JobStatus& status);
   void ReadJob(const SearchPtr& search);
-  /// @param otherwise what its other keys say, if it has not ended
+  /// @param otherwise result from the other keys, for a job that has not ended
   void ReadEnd(const SearchPtr& search, const Result<JobStatus>& otherwise);
-  /// @return true if the search was ended or will be tried again
+  /// @return true if the search was ended or a retry is scheduled
   bool HandleFailure(const SearchPtr& search, const Result<StoreItem>& item);
 
   Executor* executor;
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -51,15 +51,16 @@
   void OnCellChange();
   void StepDown(std::string_view reason);
   bool Authorized() const;
-  /// @return where processes are reached that may store something instead of
-  ///   this one: the owner first, the others in turn
+  /// @return addresses of processes that may write to the store instead of this
+  ///   one: the owner first, the others in rotation
   std::vector<std::string> Helpers();
-  /// Lets the owner know of a key at once; it would find it in the store too.
+  /// Informs the owner of a key immediately; it would also find the key in the
+  /// store.
   /// @param revision 0 for a job that is being stored
   void Announce(const CreateRequest& created, Revision revision);
-  /// Answers the cancellation of a job that has ended, or never was.
+  /// Answers a cancellation for a job that has ended or never existed.
   void CancelEnded(const JobId& id, std::function<void(SubmitResult)> done);
-  /// @return where the owner is reached; nothing if there is none, or if it is
+  /// @return the address of the owner; nothing if there is none or if it is
   ///   this process
   std::optional<std::string> OwnerAddress() const;
 
@@ -120,7 +121,7 @@
                             {"reason", parsed.error().message()}});
     return;
   }
-  // Never back: a listing may come after a newer event.
+  // The version never decreases: a listing may arrive after a newer event.
   const ConfigurationVersion version = parsed.value().version;
   if (this->desired && version <= this->desired->version) return;
   this->desired =
@@ -140,7 +141,8 @@
 
 void JobNode::Internals::StepDown(std::string_view reason) {
   if (std::exchange(this->stepping_down, true)) return;
-  // Later, since parts of the owner that is to go are still at work.
+  // Deferred, because functions of the owner to be destroyed are still on the
+  // stack.
   this->given.executor->Post(this->guard.Wrap(
       [this, why = std::string(reason)] { this->member.Resign(why); }));
 }
@@ -167,7 +169,7 @@
 
 void JobNode::Internals::OnDeposed() {
   this->stepping_down = true;
-  // The caller may be a callback of the store, never one of the owner's parts.
+  // The caller may be a callback of the store, but never a part of the owner.
   this->owner.reset();
 }
 
@@ -231,7 +233,7 @@
                                      std::function<void(SubmitResult)> done) {
   auto read = [done = std::move(done)](const Result<StoreItem>& end) {
     if (end) {
-      // Nothing of it runs; there is nothing to be stored.
+      // Nothing of the job runs, so there is nothing to store.
       done(CancelAccepted());
     } else if (end.error() == Error::kUnknownRequest) {
       done(NoSuchJob());
--- a/packages/jobs/src/owner_context.h
+++ b/packages/jobs/src/owner_context.h
@@ -30,19 +30,20 @@
 class ProgressWriter;
 class RunControl;
 
-/// What the parts of one ownership share. All of it dies with the ownership.
+/// State shared by the parts of one ownership and destroyed with it.
 struct OwnerContext {
   Executor* executor = nullptr;
   KeyValueStore* store = nullptr;
   WorkerDriver* driver = nullptr;
   EventLog* log = nullptr;
   Metrics* metrics = nullptr;
-  /// Revision of the owner's key: what workers and the store compare.
+  /// Revision of the owner's key, compared by workers and the store.
   FencingToken token = 0;
-  /// Workers that may be lost under one task before it is given up.
+  /// Number of workers that may be lost while running one task before the task
+  /// is given up.
   std::int32_t max_lost_workers = 3;
   std::shared_ptr<const DesiredState> desired;
-  /// The queues of `desired`, by name: there may be thousands.
+  /// The queues of `desired` by name; there may be thousands.
   std::unordered_map<QueueName, const Queue*> queues;
 
   JobTable jobs;
@@ -61,16 +62,16 @@
   Dispatcher* dispatcher = nullptr;
 
   /// @return false once the store has been silent for longer than an owner may
-  ///   act on
+  ///   continue to act
   std::function<bool()> authorized;
-  /// Asked before a start leaves for the first time.
-  /// @return false, and looks again, if what is known of the workers is too old
-  ///   to go by
+  /// Checked before a start is sent for the first time.
+  /// @return false, and triggers a refresh, if the view of the workers is too
+  ///   old
   std::function<bool()> worker_view_fresh;
-  /// Ends this ownership soon.
+  /// Ends this ownership asynchronously.
   std::function<void(std::string_view reason)> step_down;
 
-  /// Asked before each order to a worker.
+  /// Checked before each order to a worker.
   /// @return false, and ends this ownership, if it may not act any more
   [[nodiscard]] bool MayAct() const {
     if (this->authorized()) return true;
@@ -85,14 +86,15 @@
       this->queues.emplace(queue.name, &queue);
     }
   }
-  /// @return true if the desired state names the service
+  /// @return true if the desired state contains the service
   [[nodiscard]] bool HasService(const ServiceId& service) const {
     if (!this->desired) return false;
     const auto& services = this->desired->services;
     return std::any_of(services.begin(), services.end(),
                        [&](const Service& one) { return one.id == service; });
   }
-  /// @return how the job's queue is treated now
+  /// @return the current settings of the job's queue, or those at its
+  ///   acceptance if the queue no longer exists
   [[nodiscard]] const Queue& QueueOf(const JobEntry& entry) const {
     const auto found = this->queues.find(entry.job.queue.name);
     return found == this->queues.end() ? entry.job.queue : *found->second;
--- a/packages/jobs/src/permission_broker.cc
+++ b/packages/jobs/src/permission_broker.cc
@@ -9,18 +9,18 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Weight of one answer in the share of workers that are permitted, and the
-/// share assumed before the first.
+/// Weight of one answer in the moving average of the share of permitted
+/// workers, and the initial value of that average.
 constexpr double kPermittedShareWeight = 0.05;
 constexpr double kInitialPermittedShare = 0.4;
-/// Processes kept for short questions: so many beside twice those that these
-/// have kept busy lately, and no more than one of three. A burst of urgent
-/// steps needs three times as many as the usual load; kept for it all the time,
-/// they are missing where questions take a second.
+/// Processes reserved for short questions: one plus twice the number that these
+/// have kept busy recently, but at most one in three. A burst of urgent steps
+/// needs three times the usual number. Reserving that many at all times would
+/// delay long questions, which take up to a second.
 constexpr double kSpareShortClients = 1.0;
 constexpr double kShortClientsPerBusy = 2.0;
 constexpr std::size_t kClientsPerShortClient = 3;
-/// Over which time "lately" goes.
+/// Time constant of the average of recent load.
 constexpr Duration kLoadDecayTime = milliseconds(1500);
 
 std::pair<std::int32_t, std::int32_t> StepNumberOf(const StepRef& step) {
@@ -46,8 +46,8 @@
   if (!there) known->refused.insert(place, session);
 }
 
-/// @param steps advice by job, and then by occurrence and step
-/// @return what is known of a step, or null
+/// @param steps advice by job, then by occurrence and step
+/// @return the advice on a step, or null
 template <typename Steps>
 auto* FindAdvice(Steps& steps, const StepRef& step) {
   const auto job = steps.find(step.job);
--- a/packages/jobs/src/permission_broker.h
+++ b/packages/jobs/src/permission_broker.h
@@ -22,28 +22,28 @@
 
 namespace mustardproxy::jobs {
 
-/// A permission as long as it holds.
+/// A permission and the end of its validity.
 struct Ticket {
   std::string text;
   Instant expires;
 };
 
-/// A worker that may run a step, with the last permission for it.
+/// A worker that may run a step, with the latest permission for it.
 struct PermittedWorker {
   SessionNumber session = 0;
   Ticket ticket;
 };
 
-/// What the policy service has said of one step.
+/// What the policy service has answered about one step.
 struct StepAdvice {
   /// Workers that may run it, by session.
   std::vector<PermittedWorker> permitted;
-  /// Workers that may not, in this life of theirs; sorted.
+  /// Workers that may not run it in their current incarnation; sorted.
   std::vector<SessionNumber> refused;
-  /// A question waits or is on its way.
+  /// A question is queued or in flight.
   bool asking = false;
 
-  /// @return the last permission for a worker, or null
+  /// @return the latest permission for a worker, or null
   [[nodiscard]] const Ticket* TicketFor(SessionNumber session) const;
   [[nodiscard]] bool Refuses(SessionNumber session) const;
 };
@@ -61,31 +61,32 @@
   std::string address;
 };
 
-/// How busy short questions have kept processes lately.
+/// Recent load of the processes by short questions.
 class ShortQuestionLoad {
  public:
-  /// A short question has ended.
+  /// Records the duration of a short question that has ended.
   void Note(Instant now, Duration took);
-  /// @return processes that should be kept for the next ones
+  /// @return the number of processes to reserve for further short questions
   [[nodiscard]] std::size_t ClientsToReserve(Instant now) const;
 
  private:
   [[nodiscard]] double BusyAt(Instant now) const;
 
-  /// Microseconds, the older the less they count.
+  /// Microseconds of load, decaying exponentially.
   double busy = 0.0;
   Instant noted;
 };
 
-/// Gets permissions from the policy service. It serves one question at a time
-/// for each calling host, so questions are spread over all processes of the
-/// cell, one on each, in the order of `QuestionQueue`, and some processes are
-/// kept for short ones. Priorities do not count here, or the gangs of one queue
-/// would keep all processes busy; they decide who gets the room.
+/// Obtains permissions from the policy service, which serves one question at a
+/// time per calling host. So questions are distributed over all processes of
+/// the cell, one per process, in the order of `QuestionQueue`, and some
+/// processes are reserved for short questions. Priorities have no effect here,
+/// or the gangs of one queue would keep all processes busy; they decide which
+/// step gets the capacity.
 class PermissionBroker {
  public:
-  /// Chooses the workers to ask about at the moment when the question is sent;
-  /// none: the question is dropped.
+  /// Selects the workers to ask about at the time when the question is sent.
+  /// With an empty result the question is dropped.
   using Chooser = std::function<std::vector<AskedWorker>(const StepRef&)>;
 
   struct Parts {
@@ -96,19 +97,19 @@
     Metrics* metrics = nullptr;
   };
 
-  /// Told of each question that was answered, or failed.
+  /// Called for each question that was answered or has failed.
   using AnswerHandler = std::function<void(const StepRef&)>;
 
   PermissionBroker(Parts parts, Chooser chooser, AnswerHandler on_answer);
 
   void SetClients(const std::vector<AdviceClient>& clients);
-  /// Queues a question unless one about the step is under way.
+  /// Queues a question unless one about the step is queued or in flight.
   void RequestPermissions(const PermissionRequest& request);
-  /// @return what is known of a step, or null
+  /// @return the advice on a step, or null
   [[nodiscard]] const StepAdvice* Find(const StepRef& step) const;
-  /// @return which share of the workers asked about was permitted lately
+  /// @return the recent share of permitted workers among those asked about
   [[nodiscard]] double PermittedShare(const QueueName& queue) const;
-  /// A worker has refused this permission.
+  /// Marks the permission as expired after a worker has refused it.
   void DropTicket(const StepRef& step, SessionNumber session);
   void ForgetJob(const JobId& job);
 
@@ -144,8 +145,7 @@
   AnswerHandler on_answer;
   std::map<ProcessId, Client> clients;
   QuestionQueue queue;
-  /// By job, and then by occurrence and step: a pass looks one up for each
-  /// step that waits.
+  /// By job, then by occurrence and step: a pass looks up each waiting step.
   std::unordered_map<JobId, std::map<StepNumber, StepAdvice>> steps;
   std::map<QueueName, double> permitted_shares;
   ShortQuestionLoad short_question_load;
--- a/packages/jobs/src/prefix_mirror.cc
+++ b/packages/jobs/src/prefix_mirror.cc
@@ -26,7 +26,7 @@
 
 void PrefixMirror::Refresh() {
   if (this->listing) return;
-  // Drops the watch that is under way.
+  // Discards the callback of the watch in flight.
   this->guard = CallbackGuard();
   this->Start();
 }
@@ -47,8 +47,8 @@
   }
   this->reachable = true;
   this->last_answered_call_at = asked;
-  // Pages are no snapshot. Changes since the first page are watched for, so
-  // none that falls between two pages is lost.
+  // Pages are not a snapshot. The watch starts at the revision of the first
+  // page, so changes between pages are not lost.
   if (std::exchange(this->first_page, false)) this->next = page.value().current;
   for (const StoreItem& item : page.value().items) {
     this->seen.insert(item.key);
--- a/packages/jobs/src/prefix_mirror.h
+++ b/packages/jobs/src/prefix_mirror.h
@@ -14,20 +14,20 @@
 
 namespace mustardproxy::jobs {
 
-/// Follows all items below a prefix: lists them, then watches, and lists again
-/// when the store has forgotten the history in between.
+/// Mirrors all items below a prefix: lists them, then watches for changes, and
+/// lists again after the store has compacted the history in between.
 class PrefixMirror {
  public:
   struct Options {
     std::string prefix;
-    /// Pause between a watch's answer and the next watch, so that many changes
-    /// share one call.
+    /// Delay between the answer of a watch and the next watch, so that many
+    /// changes share one call.
     Duration pause{0};
   };
   struct Handlers {
-    /// An item is new, has changed, or is gone (then without its value).
+    /// An item was added, changed or deleted (then without its value).
     std::function<void(const StoreEvent&)> on_change;
-    /// All items have been told once.
+    /// All items have been reported once.
     std::function<void()> on_listed;
   };
 
@@ -35,11 +35,11 @@
                Options options, Handlers handlers);
 
   void Start();
-  /// Lists all items anew, unless that is under way.
+  /// Lists all items again, unless a listing is in progress.
   void Refresh();
-  /// @return true once all items have been told
+  /// @return true once all items have been reported
   [[nodiscard]] bool Listed() const { return this->listed; }
-  /// @return when the last call was sent that the store answered
+  /// @return when the last call that the store has answered was sent
   [[nodiscard]] Instant LastAnsweredCallAt() const {
     return this->last_answered_call_at;
   }
@@ -60,11 +60,11 @@
   EventLog* log;
   Options options;
   Handlers handlers;
-  /// Revision of each item told.
+  /// Revision of each reported item.
   std::map<std::string, Revision> known;
-  /// Keys seen by the listing under way.
+  /// Keys seen by the listing in progress.
   std::set<std::string> seen;
-  /// Where the next watch begins.
+  /// Revision at which the next watch starts.
   Revision next = 0;
   bool first_page = true;
   bool listed = false;
--- a/packages/jobs/src/question_queue.cc
+++ b/packages/jobs/src/question_queue.cc
@@ -9,16 +9,15 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// What work that is done late is worth to its caller, as a share of what it is
-/// worth in time: a fifth, by the users' pages.
+/// Value of work that is done late, as a fraction of its value in time.
 constexpr double kLateValueFraction = 0.2;
-/// One of so many long questions is the one that has waited longest.
+/// One of this many long questions is the one that has waited longest.
 constexpr std::uint64_t kOldestPeriod = 4;
-/// One of so many is the oldest of all, those included that are worth nothing
-/// any more: their callers still wait for the end.
+/// One of this many is the oldest of all, including questions for jobs without
+/// remaining value, because their callers still wait for the end.
 constexpr std::uint64_t kOldestOfAllPeriod = 4 * kOldestPeriod;
-/// What a task counts for at least that declares no processors or no time, or
-/// that runs until it is stopped.
+/// Minimum values for a task that declares no processors or no run time, and
+/// the run time assumed for a task that runs until it is stopped.
 constexpr std::int64_t kMinTaskCpuMilli = 100;
 constexpr Duration kMinTaskRunTime = milliseconds(100);
 constexpr Duration kServiceRunTime = seconds(60);
@@ -35,8 +34,9 @@
   return 0.0;
 }
 
-/// @return worth of the work that can start, for the policy service's time. The
-///   fixed part stands for the whole: what a question names is chosen later.
+/// @return value of the work that can start per unit of the policy service's
+///   time. The fixed part of the cost stands for the whole, because the workers
+///   in the question are selected later.
 double ValuePerCost(const PermissionRequest& request, Instant now) {
   const auto cost = static_cast<double>(
       std::max<std::int64_t>(1, request.policy.decision.count()));
@@ -94,7 +94,7 @@
 }
 
 void QuestionQueue::PromoteOldest(Instant now) {
-  // What is hopeless ends too, but not for the time of what is only late.
+  // Expired questions are sent too, but not at the expense of late ones.
   const bool include_expired = this->long_sent % kOldestOfAllPeriod == 0;
   const auto first = std::find_if(this->waiting.begin(), this->waiting.end(),
                                   IsLongWithoutCapacity);
--- a/packages/jobs/src/question_queue.h
+++ b/packages/jobs/src/question_queue.h
@@ -12,70 +12,70 @@
 
 namespace mustardproxy::jobs {
 
-/// A question that holds a host for so long that urgent steps, which are to
-/// start within a quarter of a second, must not wait behind it. Most questions
-/// name far fewer workers than they may; the fixed part alone tells long from
-/// short ones well enough.
+/// Duration from which a question occupies a host for too long to let urgent
+/// steps, which are to start within a quarter of a second, wait behind it. Most
+/// questions name far fewer workers than allowed, so the fixed part of the
+/// duration is sufficient for the distinction.
 inline constexpr Duration kLongQuestionThreshold =
     std::chrono::milliseconds(100);
 [[nodiscard]] bool IsLong(const AdvicePolicy& policy);
 
-/// One step that needs permissions.
+/// A request for permissions for one step.
 struct PermissionRequest {
   StepRef step;
   QueueName queue;
   AdvicePolicy policy;
   StartDeadlines deadlines;
-  /// When the step has to be begun for its job to be done in time.
+  /// When the step must start for its job to be done in time.
   Instant start_by;
-  /// Processor time of the tasks that wait, as declared.
+  /// Declared processor time of the waiting tasks.
   Duration work{0};
-  /// Its room is taken and stands empty until the answer.
+  /// Its capacity is reserved and idle until the answer.
   bool capacity_reserved = false;
 };
 
-/// @return processor time of so many tasks of a step, as declared
+/// @return declared processor time of `tasks` tasks of a step
 [[nodiscard]] Duration DeclaredWork(const Step& step, std::int64_t tasks);
 
 /// A question that waits for a host.
 struct WaitingQuestion {
   PermissionRequest request;
   Instant since;
-  /// In the order in which they came.
+  /// Sequence number in order of arrival.
   std::uint64_t number = 0;
 };
 
-/// Questions that wait for a host, and in which order they go: short ones
-/// first, then those for which room stands empty, then those that pay most, in
-/// work that can start in time for each second that the policy service spends.
-/// Every fourth of the long ones is the one that has waited longest.
+/// Questions that wait for a host, in the order in which they are sent: short
+/// ones first, then those with reserved capacity, then by value, measured in
+/// work that can start in time per second of the policy service's time. Every
+/// fourth of the long ones is the one that has waited longest.
 ///
-/// Failure guarded against: more questions wait than the hosts can ask, and the
-/// widest gangs need several answers one after the other. By the time left
-/// alone they would wait behind all that is late, and be late before their
-/// second.
+/// Failure guarded against: more questions wait than the hosts can send, and
+/// the widest gangs need several answers in sequence. Ordered by remaining
+/// time, they would wait behind all late steps and be late before their second
+/// answer.
 ///
-/// Failure guarded against: what pays least waits for as long as the load is
-/// too high, also behind what came much later. A quarter of the hosts' time
-/// takes it on in turn.
+/// Failure guarded against: the question with the lowest value waits for as
+/// long as the load is too high, also behind questions that arrived much later.
+/// A quarter of the hosts' time is given to the oldest question.
 class QuestionQueue {
  public:
   void Push(const PermissionRequest& request, Instant now);
   /// Drops the questions about a job.
   void Forget(const JobId& job);
-  /// Puts first what goes first now.
+  /// Sorts the questions by their order at `now`.
   void Sort(Instant now);
   [[nodiscard]] std::size_t Size() const { return this->waiting.size(); }
   [[nodiscard]] const WaitingQuestion& At(std::size_t index) const {
     return this->waiting[index];
   }
-  /// Takes out a question that is to be sent, or is not needed any more.
+  /// Removes a question that is to be sent or is no longer needed.
   WaitingQuestion Take(std::size_t index);
-  /// A long question has been sent.
+  /// Called when a long question has been sent.
   void CountLongSent() { ++this->long_sent; }
 
  private:
-  /// Puts the oldest of the long ones before the others.
+  /// Moves the oldest of the long questions before the others.
   void PromoteOldest(Instant now);
 
   std::vector<WaitingQuestion> waiting;
