--- a/packages/jobs/tests/advice_selection_test.cc
+++ b/packages/jobs/tests/advice_selection_test.cc
@@ -17,7 +17,7 @@
 constexpr Instant kNow{seconds(1000)};
 constexpr Instant kAnswerDue = kNow + milliseconds(600);
 
-/// Workers with room for some tasks of 1000 thousandths of a processor each.
+/// Workers with capacity for a number of tasks of 1000 milli-CPU each.
 struct Fixture {
   SessionNumber Add(std::int64_t tasks) {
     WorkerInfo info;
@@ -87,8 +87,8 @@
   BOOST_TEST(chosen.front() == only);
 }
 
-// What the policy service said of a worker stays true. Asking again about those
-// it has refused took the time that other steps waited for.
+// An answer of the policy service stays valid. Repeated questions about refused
+// workers took time that other steps needed.
 BOOST_AUTO_TEST_CASE(refused_workers_are_never_asked_about_again) {
   for (int i = 0; i < 10; ++i) Add(2);
   advice.refused = {0, 1, 2, 3};
@@ -99,8 +99,8 @@
   }
 }
 
-// A gang knows where it may run, and its permissions have lapsed while it
-// waited for room. It asks about these alone, which is quick.
+// A gang knows workers that may run it, and its permissions expired while it
+// waited for capacity. It asks about those workers only, which is quick.
 BOOST_AUTO_TEST_CASE(a_gang_that_fits_where_it_may_run_renews_only) {
   for (int i = 0; i < 30; ++i) Add(4);
   for (SessionNumber i = 0; i < 6; ++i) Permit(i, kNow - seconds(1));
@@ -117,8 +117,8 @@
   for (const SessionNumber one : chosen) BOOST_TEST(one >= 4U);
 }
 
-// The cell is nearly full: a gang that asks only about workers with room learns
-// of two at a time, and asks a dozen times before it may start.
+// In a nearly full cell, a gang that asks only about workers with free capacity
+// learns about two at a time and asks a dozen times before it starts.
 BOOST_AUTO_TEST_CASE(a_gang_also_asks_about_full_workers) {
   for (int i = 0; i < 40; ++i) Add(0);
   Add(1);
@@ -137,7 +137,7 @@
 }
 
 // One more worker costs a hundredth of the question: few questions about many
-// workers use the policy service less than many about few.
+// workers use less of the policy service's time than many about few.
 BOOST_AUTO_TEST_CASE(expensive_questions_cover_many_workers) {
   for (int i = 0; i < 200; ++i) Add(4);
   workers_per_fixed_cost = 60;
@@ -155,7 +155,7 @@
   record.expected_end = kNow + milliseconds(300);
   sessions[busy]->AddRun({{{JobId("j"), 0, 0}, 0}, 1}, record);
   BOOST_TEST(Choose(2, false).size() == 1U);
-  // What is overdue may take any time.
+  // The remaining time of an overdue run is unknown.
   record.expected_end = kNow - milliseconds(1);
   sessions[busy]->RemoveRun({{{JobId("j"), 0, 0}, 0}, 1});
   sessions[busy]->AddRun({{{JobId("j"), 0, 0}, 0}, 1}, record);
--- a/packages/jobs/tests/cell_basic_test.cc
+++ b/packages/jobs/tests/cell_basic_test.cc
@@ -43,8 +43,8 @@
   }
 }
 
-// A caller gets no answer and hands its job in again at another process, at the
-// same time and seconds later. It is one job, and each task runs once.
+// A caller without an answer submits its job again at another process, at the
+// same time and seconds later. It stays one job, and each task runs once.
 BOOST_AUTO_TEST_CASE(the_same_id_at_every_process_is_one_job) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(2, 1000, seconds(1))}), 0);
@@ -89,7 +89,7 @@
     BOOST_TEST(worker->RunningCount() == 0U);
   }
   BOOST_TEST((cell->Ask(job->job.id, 2) == JobState::kCancelled));
-  // A late copy of the request that handed it in changes nothing.
+  // A delayed duplicate of the submission changes nothing.
   cell->Submit(job->job.spec, 0);
   CheckInvariants(cell.get());
 }
@@ -104,8 +104,8 @@
   CheckInvariants(cell.get());
 }
 
-// Small tasks keep all workers busy, and more come all the time. A gang that
-// needs three quarters of the cell still gets its turn.
+// Small tasks keep all workers busy, and more arrive all the time. A gang that
+// needs three quarters of the cell is still scheduled.
 BOOST_AUTO_TEST_CASE(a_wide_gang_is_not_starved_by_small_tasks) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->queue.stretch = 3.0;
@@ -153,8 +153,8 @@
   BOOST_TEST(cell->AwaitFinal(more->job.id, seconds(4)));
 }
 
-// A worker fails all that it is given, at once, so it always looks idle. The
-// others get the work after a few failures.
+// A worker fails all its tasks immediately, so it always looks idle. After a
+// few failures the others get the tasks.
 BOOST_AUTO_TEST_CASE(a_worker_that_fails_everything_is_left_out) {
   const auto cell = SimCell::Builder().Workers(4).MaxAttempts(20).Build();
   cell->Workers().Find("w1")->fails_all = true;
@@ -167,8 +167,8 @@
   CheckInvariants(cell.get());
 }
 
-// A worker fails what it runs. A task that failed there is tried elsewhere, so
-// that its two attempts are not both lost on that worker.
+// A failed task is retried on another worker, so that its two attempts are not
+// both lost on the failing one.
 BOOST_AUTO_TEST_CASE(a_task_that_failed_is_tried_on_another_worker) {
   const auto cell = SimCell::Builder().Workers(2).MaxAttempts(2).Build();
   cell->Workers().Find("w0")->fails_all = true;
--- a/packages/jobs/tests/cell_capacity_test.cc
+++ b/packages/jobs/tests/cell_capacity_test.cc
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_SUITE(cell_capacity)
 
-// Guards against starts that were placed in room which is gone once they leave.
+// Guards against sending a start for capacity that no longer exists.
 BOOST_AUTO_TEST_CASE(a_delayed_start_is_checked_against_current_capacity) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   cell->Store().leases_run_on = false;
@@ -42,7 +42,8 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against placing by what a worker had, or not using what it has again.
+// Guards against placing by a worker's former capacity, and against not using
+// restored capacity.
 BOOST_AUTO_TEST_CASE(placement_follows_registered_capacity) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   SimWorker* worker = cell->Workers().Find("w0");
@@ -52,7 +53,7 @@
   cell->Time().RunFor(seconds(1));
   SimJob* later = cell->Submit(MakeSpec({MakeStep(1, 5000, seconds(1))}));
   cell->Time().RunFor(seconds(8));
-  // What runs goes on, and nothing comes to it.
+  // Running tasks continue, and nothing is added.
   BOOST_TEST(worker->RunningCount() == 2U);
   cell->ResizeWorker(worker, kWhole);
   BOOST_TEST(cell->AwaitFinal(later->job.id, seconds(3)));
--- a/packages/jobs/tests/cell_gang_test.cc
+++ b/packages/jobs/tests/cell_gang_test.cc
@@ -15,7 +15,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A queue whose policy service takes 0.6 s for an answer that holds for 0.4 s.
+/// A queue whose policy service takes 0.6 s for an answer that is valid for 0.4
+/// s.
 Queue MakeSlowPolicyQueue() {
   Queue queue;
   queue.name = QueueName("reviews");
@@ -36,14 +37,14 @@
   return spec;
 }
 
-/// Has a job of `spec` handed in every second, `count` times.
+/// Submits a job of `spec` every second, `count` times.
 void SubmitEachSecond(SimCell* cell, const JobSpec& spec, int count) {
   for (int i = 0; i < count; ++i) {
     cell->Time().After(seconds(i), [cell, spec] { cell->Submit(spec); });
   }
 }
 
-/// @return questions to the policy service that were answered for a job
+/// @return the number of answered questions to the policy service for a job
 std::ptrdiff_t CountQuestions(SimCell* cell, const SimJob& job) {
   const std::string step = "step=" + job.job.id.Text() + ".0.0 ";
   const auto& lines = cell->Log().Lines();
@@ -56,16 +57,16 @@
 
 BOOST_AUTO_TEST_SUITE(cell_gang)
 
-// Users saw that the widest reviews were not served while all others were. A
-// wide gang waited for room, and its permissions lapsed. Whenever there was
-// room it asked for them anew; while the question was answered urgent work took
-// some of the room, and when that had ended the permissions had lapsed again.
-// Counted: the log of such a step, 24 renewals in 13 s, each granted whole.
+// A wide gang waits for capacity while its permissions expire. When capacity is
+// free it renews them, urgent tasks take part of the capacity while the
+// question is answered, and the permissions have expired again when those tasks
+// end. One such step had 24 renewals in 13 s, each fully granted, and the
+// widest gangs never started.
 BOOST_AUTO_TEST_CASE(gang_capacity_is_kept_while_permissions_are_requested) {
   const auto cell =
       SimCell::Builder().Workers(4).Queue(MakeSlowPolicyQueue(), 1.0).Build();
   cell->Submit(MakeSpec({MakeStep(4, 4000, seconds(3))}));
-  // Of each second's half the gang of 56 cores has room beside it, in 64.
+  // For half of each second, the gang of 56 cores fits beside it into 64.
   SubmitEachSecond(cell.get(), MakeSpec({MakeStep(4, 4000, milliseconds(500))}),
                    20);
   cell->Time().RunFor(milliseconds(100));
@@ -76,8 +77,9 @@
   CheckInvariants(cell.get());
 }
 
-// A gang can't be done in time any more, its permissions have lapsed, and then
-// the cell is empty. Its caller still waits for the end: it has to start.
+// A gang is too late to have any value, its permissions have expired, and then
+// the cell becomes idle. It has to start, because its caller still waits for
+// the end.
 BOOST_AUTO_TEST_CASE(an_expired_gang_starts_once_capacity_is_free) {
   Queue queue = MakeSlowPolicyQueue();
   queue.stretch = 1.0;
@@ -93,8 +95,9 @@
 }
 
 // A gang is placed, and the store answers late, or not for some seconds, before
-// its start is written down. By then the permissions had lapsed: the workers
-// refused every start of 23 such gangs, and each began to gather its room anew.
+// its start is stored. The permissions have expired by then: the workers
+// refused every start of 23 such gangs, and each had to gather its capacity
+// again.
 BOOST_AUTO_TEST_CASE(permissions_that_lapse_before_the_start_are_renewed) {
   const auto cell =
       SimCell::Builder().Workers(4).Queue(MakeSlowPolicyQueue(), 1.0).Build();
@@ -108,10 +111,10 @@
 }
 
 // A gang's start gets no answer while its owner is cut off from the workers,
-// and when it arrives the permission has lapsed: the worker turns it down. The
-// gang knew one permitted worker with room enough, so it asked about no other,
-// and took no room there either, since a permission that was turned down did
-// not count for that. It waited for good, in an empty cell.
+// and when it arrives the permission has expired, so the worker rejects it. The
+// gang knew one permitted worker with enough capacity, so it asked about no
+// other. It took no capacity there either, since a rejected permission did not
+// count for that, and it waited forever in an idle cell.
 BOOST_AUTO_TEST_CASE(a_gang_whose_permission_was_rejected_starts) {
   const auto cell = SimCell::Builder()
                         .Processes(1)
--- a/packages/jobs/tests/cell_proposal_test.cc
+++ b/packages/jobs/tests/cell_proposal_test.cc
@@ -27,7 +27,7 @@
     return job;
   }
 
-  /// Tells the owner of a job that is being stored.
+  /// Announces to the owner a job that is being stored.
   void Propose(const Job& job) {
     const std::size_t owner = this->Owner();
     this->cell->ProcessAt(owner)->Post([this, owner, job] {
@@ -43,12 +43,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(cell_proposal, Fixture)
 
-// The store takes 0.25 s an answer. A caller's task of one second was stored,
-// then its start, then its end, one after the other: 1.76 s. The first two go
-// side by side.
+// The store takes 0.25 s per answer. Storing a job, its start and its end in
+// sequence takes 1.76 s for a task of one second. The job and its start are
+// stored concurrently.
 BOOST_AUTO_TEST_CASE(a_job_is_placed_while_it_is_being_stored) {
   cell->Store().latency = milliseconds(250);
-  // The processes learn how slow the store is.
+  // The processes measure how slow the store is.
   for (std::size_t i = 0; i < 3; ++i) {
     cell->Submit(MakeSpec({MakeStep(1, 1000, milliseconds(10))}), i);
   }
@@ -67,9 +67,9 @@
   CheckInvariants(cell.get());
 }
 
-// A job is proposed to the owner, and the write that was to store it fails. Its
-// caller is told that it was not accepted: it must never run, nor be shown or
-// counted, nor keep its room.
+// A job is proposed to the owner, and the write that should store it fails. Its
+// caller is told that it was not accepted, so it must never run, be reported or
+// counted, or keep its capacity.
 BOOST_AUTO_TEST_CASE(a_job_that_is_not_stored_never_runs) {
   const Job job = MakeJob("proposed", 16'000);
   Propose(job);
@@ -80,13 +80,13 @@
   BOOST_TEST(cell->AwaitFinal(next->job.id, seconds(3)));
   cell->Time().RunFor(seconds(5));
   BOOST_TEST(cell->Judge().Runs() == 1);
-  // Nothing of it is left in the store for ever.
+  // Nothing of it stays in the store.
   cell->Time().RunFor(seconds(160));
   BOOST_TEST(cell->Store().Get(keys::OfProgress(job.id)) == nullptr);
 }
 
-// The write that stores a proposed job is done seconds late, when its room has
-// been given back.
+// The write that stores a proposed job is applied seconds late, after its
+// capacity was released.
 BOOST_AUTO_TEST_CASE(a_job_that_is_stored_late_runs_once) {
   const Job late = MakeJob("late", 16'000);
   cell->Judge().Add(late);
@@ -97,9 +97,9 @@
   BOOST_TEST((cell->Ask(late.id, Owner()) == JobState::kCompleted));
 }
 
-// The owner dies between the write of a proposed job's start and that of the
-// job itself. The next owner finds progress of a job that it does not know, and
-// takes it up when the job appears.
+// The owner dies after the start of a proposed job was written and before the
+// job itself is. The next owner finds progress of an unknown job and adopts it
+// when the job appears.
 BOOST_AUTO_TEST_CASE(progress_stored_before_its_job_is_adopted) {
   const Job job = MakeJob("early", 1000);
   cell->Judge().Add(job);
--- a/packages/jobs/tests/cell_takeover_test.cc
+++ b/packages/jobs/tests/cell_takeover_test.cc
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 struct Fixture {
-  /// Fills the cell with work of some length.
+  /// Submits jobs whose tasks last `length`.
   void Load(int jobs, Duration length) {
     for (int i = 0; i < jobs; ++i) {
       this->cell->Submit(MakeSpec({MakeStep(4, 2000, length)}),
@@ -29,7 +29,7 @@
     return *owner;
   }
 
-  /// @return time until another process than `former` decides
+  /// @return the time until another process than `former` is the owner
   Duration AwaitNextOwner(std::size_t former) {
     const Instant begun = this->cell->Time().Now();
     const bool found = this->cell->Time().RunUntil(
@@ -50,8 +50,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(cell_takeover, Fixture)
 
-// The process that decides dies while tasks run. Another one takes over within
-// its lease at the store and lets them run on; none is started again.
+// The owner dies while tasks run. Another process takes over within its store
+// lease and keeps the tasks running; none is started again.
 BOOST_AUTO_TEST_CASE(running_tasks_survive_the_death_of_their_owner) {
   Load(6, seconds(8));
   cell->Time().RunFor(seconds(1));
@@ -64,8 +64,8 @@
   CheckInvariants(cell.get());
 }
 
-// The owner's process dies and is started again at once. Its former run is over
-// for certain, so nobody waits for its lease at the store to lapse.
+// The owner's process dies and restarts immediately. Its former incarnation has
+// certainly ended, so no process waits for its store lease to expire.
 BOOST_AUTO_TEST_CASE(a_restarted_owner_is_replaced_at_once) {
   Load(6, seconds(5));
   cell->Time().RunFor(seconds(1));
@@ -82,8 +82,8 @@
   CheckInvariants(cell.get());
 }
 
-// An owner is told to stop. The next one decides within a second, and no lease
-// lapses meanwhile.
+// An owner is stopped. The next one is active within a second, and no lease
+// expires meanwhile.
 BOOST_AUTO_TEST_CASE(a_stop_hands_the_group_over_within_a_second) {
   Load(6, seconds(5));
   cell->Time().RunFor(seconds(1));
@@ -95,10 +95,10 @@
   CheckInvariants(cell.get());
 }
 
-// An owner is told to stop while the store takes 0.25 s an answer. With its
-// lease ended, an election and jobs, progress and workers read in a row,
-// nothing was placed for 1.0 s. It hands the group over instead and decides
-// until then.
+// An owner is stopped while the store takes 0.25 s per answer. Ending its
+// lease, an election, and reading jobs, progress and workers in sequence
+// stopped placement for 1.0 s. The owner hands the group over instead and stays
+// active until then.
 BOOST_AUTO_TEST_CASE(handover_over_a_slow_store_takes_one_read) {
   Load(6, seconds(8));
   cell->Time().RunFor(seconds(1));
@@ -117,8 +117,8 @@
   CheckInvariants(cell.get());
 }
 
-// Owner and successor are told to stop at the same moment. The one that is left
-// gets the group in the end.
+// Owner and successor are stopped at the same time. The remaining process
+// becomes the owner.
 BOOST_AUTO_TEST_CASE(a_successor_that_stops_too_passes_the_group_on) {
   Load(6, seconds(8));
   cell->Time().RunFor(seconds(1));
@@ -132,8 +132,8 @@
   CheckInvariants(cell.get());
 }
 
-// The owner stands still for longer than its lease; another one takes over.
-// When it wakes, what it had in hand is refused by the workers and the store.
+// The owner is suspended for longer than its lease, and another process takes
+// over. After it resumes, workers and store refuse its pending calls.
 BOOST_AUTO_TEST_CASE(an_owner_resumed_after_its_lease_is_fenced) {
   Load(8, seconds(3));
   cell->Time().RunFor(milliseconds(100));
@@ -147,8 +147,8 @@
   CheckInvariants(cell.get());
 }
 
-// The store is silent for everybody for longer than all leases there last.
-// Tasks run on, and in the end each has run once.
+// The store is silent for all processes for longer than all its leases. Tasks
+// continue, and each has run exactly once in the end.
 BOOST_AUTO_TEST_CASE(tasks_survive_a_store_outage) {
   Load(6, seconds(12));
   cell->Time().RunFor(seconds(1));
@@ -160,8 +160,8 @@
   CheckInvariants(cell.get());
 }
 
-// The store takes all leases away at once while everything is well. The group
-// gets a new owner, and what runs is not run again.
+// The store revokes all leases at once during normal operation. The group gets
+// a new owner, and running tasks are not started again.
 BOOST_AUTO_TEST_CASE(revoked_leases_restart_no_tasks) {
   Load(6, seconds(6));
   cell->Time().RunFor(seconds(1));
@@ -173,8 +173,8 @@
   CheckInvariants(cell.get());
 }
 
-// The owner alone can't reach the store. Another one takes over; the workers
-// refuse the former one, which stops at that.
+// Only the owner can't reach the store. Another process takes over; the workers
+// refuse the former owner, which then steps down.
 BOOST_AUTO_TEST_CASE(an_owner_cut_off_from_the_store_is_replaced) {
   Load(6, seconds(6));
   cell->Time().RunFor(seconds(1));
@@ -188,7 +188,8 @@
   CheckInvariants(cell.get());
 }
 
-// Every process dies right after a job was accepted. It is still done.
+// All processes die immediately after a job was accepted. The job is still
+// completed.
 BOOST_AUTO_TEST_CASE(an_accepted_job_outlives_all_processes) {
   SimJob* job = cell->Submit(MakeSpec({MakeStep(2, 1000, seconds(1))}));
   cell->Time().RunUntil([&] { return job->accepted; }, seconds(3));
@@ -199,8 +200,8 @@
   CheckInvariants(cell.get());
 }
 
-// The answers to the store's writes are lost, and some writes are done seconds
-// later, over newer ones if nothing prevents it.
+// Answers to writes are lost, and some writes are applied seconds later, over
+// newer ones unless prevented.
 BOOST_AUTO_TEST_CASE(lost_and_late_writes_revert_nothing) {
   cell->Store().lost_answers = 0.3;
   cell->Store().late_writes = 0.3;
@@ -214,8 +215,8 @@
   CheckInvariants(cell.get());
 }
 
-// The store forgets its history while workers come and go: a watch that goes on
-// from an old revision would miss them.
+// The store compacts its history while workers join and leave: a watch that
+// continued from an old revision would miss them.
 BOOST_AUTO_TEST_CASE(compaction_hides_no_change) {
   cell->Store().Compact();
   job_sim::SimWorker* added = cell->AddWorker();
@@ -228,8 +229,8 @@
   CheckInvariants(cell.get());
 }
 
-// An owner is cut off from the store; jobs are accepted elsewhere, of which it
-// hears nothing. It must not tell callers that none waits.
+// An owner is cut off from the store and does not learn about jobs accepted
+// elsewhere. It must not report that none is pending.
 BOOST_AUTO_TEST_CASE(an_owner_cut_off_from_the_store_counts_no_jobs) {
   const std::size_t owner = Owner();
   cell->ProcessAt(owner)->store_cut = true;
@@ -246,7 +247,7 @@
   BOOST_TEST(!count->has_value());
 }
 
-// Guards against counting jobs as begun whose starts a former owner wrote down
+// Guards against counting jobs as started whose starts a former owner stored
 // and could not deliver.
 BOOST_AUTO_TEST_CASE(jobs_whose_starts_never_arrived_are_counted_as_waiting) {
   const std::size_t owner = Owner();
@@ -278,8 +279,8 @@
   CheckInvariants(cell.get());
 }
 
-// The store turns one process away and serves the others. What callers hand in
-// there is stored by another process, at once.
+// The store refuses one process and serves the others. Jobs submitted to that
+// process are stored by another one without delay.
 BOOST_AUTO_TEST_CASE(a_process_refused_by_the_store_still_accepts_jobs) {
   const std::size_t away = (Owner() + 1) % 3;
   cell->ProcessAt(away)->store_cut = true;
@@ -290,8 +291,8 @@
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(5)));
 }
 
-// The store falls silent towards one process in the middle of a write. Another
-// one settles it long before the caller gives up.
+// The store stops answering one process during a write. Another process settles
+// the write long before the caller times out.
 BOOST_AUTO_TEST_CASE(a_write_without_an_answer_is_settled_by_another_process) {
   const std::size_t cut = (Owner() + 1) % 3;
   cell->Store().lost_answers = 1.0;
@@ -303,8 +304,8 @@
   BOOST_TEST((cell->Time().Now() - begun < milliseconds(700)));
 }
 
-// The store is away for everybody. Callers are refused at once, and truly: what
-// was refused never runs.
+// The store is unavailable to all processes. Callers are refused immediately,
+// and a refused job never runs.
 BOOST_AUTO_TEST_CASE(while_the_store_is_away_callers_are_refused_at_once) {
   cell->Store().refusing = true;
   cell->Time().RunFor(seconds(1));
@@ -325,10 +326,9 @@
   BOOST_TEST(cell->Judge().Runs() == 0);
 }
 
-// The store falls silent for everybody while callers hand jobs in, fifty a
-// second. Most of them are told truly that nothing was stored, and can come
-// back; only those whose writes the silence swallowed must be told that nobody
-// knows.
+// The store becomes silent for all processes while callers submit fifty jobs a
+// second. Most callers are refused because nothing was stored, and can retry;
+// only those whose writes were in flight get an unknown outcome.
 BOOST_AUTO_TEST_CASE(few_callers_of_a_silent_store_get_an_unknown_outcome) {
   cell->Time().RunFor(seconds(1));
   cell->Store().silent = true;
@@ -355,9 +355,9 @@
 }
 
 // A data centre is cut off from the store and from the other processes. Callers
-// there are told truly, and soon, that nothing was stored: they can come back,
-// and are then led elsewhere. Asking a process on the other side of the cut
-// left each of them in doubt until its time was up.
+// there are soon refused because nothing was stored, and can retry elsewhere.
+// Asking a process on the other side of the cut left each of them with an
+// unknown outcome at its deadline.
 BOOST_AUTO_TEST_CASE(callers_of_a_partitioned_process_are_refused) {
   const std::size_t cut = (Owner() + 1) % 3;
   cell->ProcessAt(cut)->store_cut = true;
@@ -383,9 +383,9 @@
   BOOST_TEST((last - begun < seconds(1)));
 }
 
-// A process starts while the store refuses everybody, and asks for a lease ten
-// times a second. The log would be full of it, or, with no line at all, nobody
-// would see why the process is not ready.
+// A process starts while the store refuses all calls, and requests a lease ten
+// times a second. Logging each failure would flood the log; logging none would
+// hide why the process is not ready.
 BOOST_AUTO_TEST_CASE(a_lease_that_is_not_granted_is_logged_once) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   cell->KillProcess(2);
@@ -399,8 +399,9 @@
   BOOST_TEST(cell->NodeAt(2)->Ready());
 }
 
-// A process of another version registers with a record that this one can't
-// read. Every process says so and serves on with those that it understands.
+// A process of another version registers with a record that this version can't
+// decode. Every process logs it and continues with the records that it can
+// decode.
 BOOST_AUTO_TEST_CASE(an_unreadable_record_is_logged) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   cell->Store().Put("mustardproxy/cell/node/later", "\x07");
--- a/packages/jobs/tests/check_invariants.h
+++ b/packages/jobs/tests/check_invariants.h
@@ -8,7 +8,7 @@
 
 namespace mustardproxy::jobs {
 
-/// Fails the test for each promise of the cell that was broken.
+/// Fails the test for each violated invariant of the cell.
 inline void CheckInvariants(job_sim::SimCell* cell) {
   for (const std::string& line : cell->Judge().Broken()) BOOST_TEST_ERROR(line);
 }
--- a/packages/jobs/tests/gang_reservations_test.cc
+++ b/packages/jobs/tests/gang_reservations_test.cc
@@ -6,9 +6,9 @@
 
 BOOST_AUTO_TEST_SUITE(gang_reservations)
 
-// Ten gangs of a thirtieth of the cell each could run and did not, for ten
-// seconds in a cell that was nearly empty: narrow gangs asked all the time, and
-// with theirs the room of a wide one was always above the bound.
+// Narrow gangs ask all the time. If the size of a wide gang counted too, its
+// reservation would always exceed the bound: ten gangs of a thirtieth of the
+// cell each did not start for ten seconds in a nearly empty cell.
 BOOST_AUTO_TEST_CASE(narrow_gangs_do_not_block_a_wide_one) {
   constexpr std::int64_t kCell = 5'600'000;
   BOOST_TEST(MayReserve(0, kCell));
--- a/packages/jobs/tests/placement_test.cc
+++ b/packages/jobs/tests/placement_test.cc
@@ -17,7 +17,7 @@
 
 constexpr Instant kNow{seconds(1000)};
 
-/// Workers with free processors in thousandths, two a rack.
+/// Workers with free processors in milli-CPU, two per rack.
 struct Fixture {
   void Add(std::int64_t free_cpu) {
     WorkerInfo info;
@@ -50,7 +50,7 @@
     return counts;
   }
 
-  /// A running task that should end at `end`.
+  /// Adds a running task that is expected to end at `end`.
   void Run(std::size_t worker, std::int64_t cpu, Instant end) {
     SessionRun record;
     record.takes = {cpu, 0, 0, 0};
@@ -74,7 +74,7 @@
   Step step = MakeStep(5, 2000, seconds(1));
   step.gang = true;
   BOOST_TEST(Place(step).empty());
-  // Nothing was taken by the try.
+  // The failed attempt took nothing.
   BOOST_TEST(capacities[0].free.cpu_milli == 4000);
   step.tasks = 4;
   BOOST_TEST(Place(step).size() == 2U);
@@ -135,8 +135,8 @@
   BOOST_TEST(Place(step)["w0"] == 2);
 }
 
-// A gang needs both workers whole. Small tasks would take each gap as it opens;
-// only those that end before the gang's moment may.
+// A gang needs both workers completely. Small tasks would take each gap as it
+// opens; only those that end before the gang's expected start may.
 BOOST_AUTO_TEST_CASE(capacity_is_held_until_the_gang_should_fit) {
   Add(0);
   Add(8000);
--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -31,8 +31,8 @@
     request.capacity_reserved = this->capacity_reserved;
     this->queue.Push(request, kNow);
   }
-  /// @return the jobs in the order in which their questions go; each counts as
-  ///   sent
+  /// @return the jobs in the order in which their questions are sent; each
+  ///   counts as sent
   std::vector<std::string> SendAll() {
     std::vector<std::string> order;
     while (this->queue.Size() > 0) {
@@ -64,11 +64,11 @@
              boost::test_tools::per_element());
 }
 
-// The hosts can't ask about all that waits. What brings most for the policy
-// service's time goes first: much work, cheap answers, and what can still be in
-// time before what is late, and both before what nobody waits for any more.
+// More questions wait than the hosts can send. Those with the most value for
+// the policy service's time go first: much work, cheap answers, steps on time
+// before late ones, and both before steps without remaining value.
 BOOST_AUTO_TEST_CASE(highest_value_per_cost_goes_first) {
-  // The oldest has the first turn.
+  // The oldest question is sent first.
   Push("oldest", seconds(1));
   Push("hopeless", seconds(900), DeadlineStatus::kExpired);
   Push("late", seconds(100), DeadlineStatus::kLate);
@@ -94,8 +94,8 @@
   BOOST_TEST(queue.At(0).request.step.job.Text() == "cheap");
 }
 
-// Wide gangs come faster than the hosts can ask, and a narrow one is behind all
-// of them each time. It has its turn when it is the oldest.
+// Wide gangs arrive faster than the hosts can ask, and a narrow one is ranked
+// behind all of them. It is sent when it is the oldest.
 BOOST_AUTO_TEST_CASE(lowest_value_question_is_sent_when_oldest) {
   Push("narrow", seconds(1));
   queue.CountLongSent();
@@ -110,8 +110,8 @@
              3);
 }
 
-// What nobody waits for any more is older than all others, and takes none of
-// the time of what is only late; but it ends.
+// A question without remaining value is older than all others. It must not take
+// time from late questions, but it is sent in the end.
 BOOST_AUTO_TEST_CASE(expired_questions_are_rarely_promoted) {
   Push("hopeless", seconds(1), DeadlineStatus::kExpired);
   queue.CountLongSent();
@@ -126,7 +126,7 @@
              15);
 }
 
-// A step that could be in time when it was asked for has waited, and is late.
+// A step that was on time when its question was queued has become late.
 BOOST_AUTO_TEST_CASE(deadline_status_follows_the_clock) {
   const StartDeadlines deadlines{.on_time = kNow, .useful = kNow + seconds(5)};
   BOOST_TEST((deadlines.At(kNow) == DeadlineStatus::kOnTime));
@@ -141,7 +141,7 @@
   BOOST_TEST(SendAll() == Order{"stays"}, boost::test_tools::per_element());
 }
 
-// A step that declares nothing, or lasts for ever, must not count for nothing.
+// A step that declares nothing, or runs forever, must have a nonzero value.
 BOOST_AUTO_TEST_CASE(undeclared_work_has_a_minimum) {
   BOOST_TEST(DeclaredWork(MakeStep(4, 2000, seconds(3)), 4).count() ==
              Duration(seconds(24)).count());
--- a/packages/jobs/tests/schedules_test.cc
+++ b/packages/jobs/tests/schedules_test.cc
@@ -14,59 +14,59 @@
   }
 }
 
-/// Seeds that once broke a promise, with the cause.
+/// Seeds that once violated an invariant, with the cause.
 constexpr std::uint64_t kRegressions[] = {
-    149,   // the lease of a worker that was gone was put off for ever
+    149,   // the lease of a lost worker was extended forever
     855,   // the same
-    1168,  // the same, with starts that were sent again
-    1582,  // the second end of a gang was noted before the first was stored
+    1168,  // the same, with repeated starts
+    1582,  // a gang's second end was recorded before the first was stored
     1773,  // as 149
     1991,  // as 149
     2574,  // as 149
-    // A permission that a worker had turned down counted for taking room and
-    // not for asking: the gang did neither.
+    // A permission that a worker had rejected counted for taking capacity but
+    // not for asking, so the gang did neither.
     900339,
     900636,
 };
 
-/// The same with tasks that take their workers down.
+/// Seeds with tasks that crash their workers.
 constexpr std::uint64_t kCrashRegressions[] = {
-    84,    // a crash of a worker that had begun to drain was not counted
-    705,   // two suspicious tasks on one worker, which were both blamed
-    1009,  // a start left in room that was gone
-    1180,  // the same
-    1749,  // starts after the third crash that ended as failed were not counted
-    1893,  // as 1009
-    10165,  // a run of a former owner counted as lost at its start
-    10301,  // a start that met the next life of its worker counted as a crash
-    70101,  // as 84
-    70320,  // a start that never arrived at a worker cut off counted as a crash
-    320098,  // a loss that a former owner could not store was taken for a cut
-    321711,  // as 70320, with a worker that had answered just before
+    84,      // the crash of a draining worker was not counted
+    705,     // two suspicious tasks on one worker were both blamed
+    1009,    // a start was sent for capacity that no longer existed
+    1180,    // the same
+    1749,    // failed starts after the third crash were not counted
+    1893,    // as 1009
+    10165,   // a former owner's run counted as lost at its start
+    10301,   // a start for a restarted worker counted as a crash
+    70101,   // as 84
+    70320,   // an undelivered start to an unreachable worker: crash
+    320098,  // an unstored loss was taken for a network cut
+    321711,  // as 70320, after a recent answer of the worker
 };
 
-/// The same with workers that start again under their ids.
+/// Seeds with workers that restart under the same id.
 constexpr std::uint64_t kReusedIdRegressions[] = {
-    7,     // a run kept from starting late was lost with each further restart
-    241,   // a late hold of a former life had ends forgotten
-    1523,  // a new life was taken to obey a token that it had not seen
+    7,     // the record against a late start was lost on a restart
+    241,   // a late hold of a former incarnation dropped ends
+    1523,  // a new incarnation counted as fenced by an unseen token
 };
 
-/// Both together.
+/// Seeds with both.
 constexpr std::uint64_t kCrashReusedIdRegressions[] = {
-    19,   // a start for the last life but one was carried out
-    407,  // a start was carried out by a new life that nobody could reach
+    19,   // a start for the incarnation before last was executed
+    407,  // an unreachable new incarnation executed a start
 };
 
-/// With a slow store beside.
+/// Seeds with restarting workers and a slow store.
 constexpr std::uint64_t kSlowReusedIdRegressions[] = {
-    343,  // ends of a new life were forgotten by the number of the former
-    559,  // the same, told to a life that had not been heard
+    343,  // ends dropped by the former incarnation's sequence number
+    559,  // the same, for an incarnation without an answer yet
 };
 
-/// The same over a store of 0.25 s an answer.
+/// Seeds with a store that takes 0.25 s per answer.
 constexpr std::uint64_t kSlowRegressions[] = {
-    1264,  // the owner's key went while others stood for its place: no owner
+    1264,  // the owner's key expired during an election: no owner
     1265,  // the same
     1508,  // the same
     1624,  // the same
@@ -97,7 +97,7 @@
   }
 }
 
-// Tasks take their workers down, and workers shrink and grow.
+// Tasks crash their workers, and workers shrink and grow.
 BOOST_AUTO_TEST_CASE(a_fixed_set_with_crashing_tasks) {
   constexpr std::uint64_t kSeeds = 300;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -105,8 +105,8 @@
   }
 }
 
-// Workers start again under their ids, with and without tasks that take them
-// down, and over a slow store.
+// Workers restart under the same id, with and without tasks that crash them,
+// and with a slow store.
 BOOST_AUTO_TEST_CASE(a_fixed_set_with_reused_ids) {
   constexpr std::uint64_t kFirst = 2101;
   constexpr std::uint64_t kSeeds = 150;
--- a/packages/jobs/tests/wait_report_test.cc
+++ b/packages/jobs/tests/wait_report_test.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return how many lines about waiting steps give this reason
+/// @return the number of log lines about waiting steps with this reason
 std::size_t CountReason(SimCell* cell, const std::string& reason) {
   const std::string wanted = "reason=" + reason;
   std::size_t count = 0;
@@ -75,8 +75,8 @@
   BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kReservations));
 }
 
-// A caller asks for a label that no worker has. Its job waits, and the log says
-// why, a line every two seconds.
+// A caller requires a label that no worker has. Its job waits, and the log
+// states the reason every two seconds.
 BOOST_AUTO_TEST_CASE(a_step_that_no_worker_can_run_is_reported) {
   const auto cell = SimCell::Builder().Build();
   JobSpec spec = MakeSpec({MakeStep(2, 1000, seconds(1))});
@@ -100,7 +100,7 @@
   CheckInvariants(cell.get());
 }
 
-// Thousands of jobs that nobody can run must not fill the log.
+// Thousands of jobs that can't run must not flood the log.
 BOOST_AUTO_TEST_CASE(lines_are_bounded) {
   const auto cell = SimCell::Builder().Build();
   for (int i = 0; i < 300; ++i) {
