--- a/packages/jobs/include/mustardproxy/jobs/worker_driver.h
+++ b/packages/jobs/include/mustardproxy/jobs/worker_driver.h
@@ -95,7 +95,7 @@
   kNoTicket,
   kInvalid,
   /// Another life of the worker answered: the one meant is gone.
-  kOtherLife,
+  kOtherIncarnation,
   /// The worker said no for now, or was never reached; nothing was done.
   kRefused,
   /// No answer: it may have been done, or be done seconds later.
@@ -108,7 +108,7 @@
   std::int64_t clock_ms = 0;
   /// Start of the life that answered, in Unix milliseconds; 0 if the answer
   /// does not tell.
-  std::int64_t born_ms = 0;
+  std::int64_t start_unix_ms = 0;
 };
 
 struct RunningRun {
--- a/packages/jobs/include/mustardproxy/jobs/worker_incarnation.h
+++ b/packages/jobs/include/mustardproxy/jobs/worker_incarnation.h
@@ -15,7 +15,7 @@
   WorkerId id;
   /// Start of the life in Unix milliseconds, as the worker tells it; 0 if it
   /// does not, and the id then names the life.
-  std::int64_t born_ms = 0;
+  std::int64_t start_unix_ms = 0;
 
   friend bool operator==(const WorkerIncarnation&,
                          const WorkerIncarnation&) = default;
@@ -26,8 +26,8 @@
 };
 
 /// @return false if the two are known to be different lives
-[[nodiscard]] bool MayBeSame(const WorkerIncarnation& a,
-                             const WorkerIncarnation& b);
+[[nodiscard]] bool MayBeSameIncarnation(const WorkerIncarnation& a,
+                                        const WorkerIncarnation& b);
 
 /// @return `id@born`, or the id alone if the birth is not known
 [[nodiscard]] std::string Text(const WorkerIncarnation& worker);
--- a/packages/jobs/src/crash_history.cc
+++ b/packages/jobs/src/crash_history.cc
@@ -26,15 +26,16 @@
 
 bool CrashHistory::Confirm(const WorkerIncarnation& worker) {
   const auto found = std::find_if(
-      this->losses.begin(), this->losses.end(),
-      [&](const WorkerLoss& loss) { return MayBeSame(loss.worker, worker); });
+      this->losses.begin(), this->losses.end(), [&](const WorkerLoss& loss) {
+        return MayBeSameIncarnation(loss.worker, worker);
+      });
   if (found == this->losses.end()) return false;
   return !std::exchange(found->certain, true);
 }
 
 void CrashHistory::NoteAlive(const WorkerIncarnation& worker) {
   std::erase_if(this->losses, [&](const WorkerLoss& loss) {
-    return MayBeSame(loss.worker, worker);
+    return MayBeSameIncarnation(loss.worker, worker);
   });
   for (WorkerLoss& loss : this->losses) {
     if (loss.worker.id == worker.id) loss.certain = true;
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -61,7 +61,7 @@
                            const WorkerIncarnation& worker) {
   return static_cast<std::int32_t>(std::count_if(
       progress.tasks.begin(), progress.tasks.end(), [&](const TaskEntry& task) {
-        return task.open && MayBeSame(task.worker, worker);
+        return task.open && MayBeSameIncarnation(task.worker, worker);
       }));
 }
 
@@ -143,7 +143,7 @@
 void Dispatcher::UpdateEjected(Instant now) {
   WorkerHealth& health = this->context->health;
   for (const WorkerId& worker : health.TakeChanged(now)) {
-    WorkerSession* session = this->context->workers.At(worker);
+    WorkerSession* session = this->context->workers.FindLatest(worker);
     if (session == nullptr) continue;
     const bool ejected = !health.Standing(now, worker).placeable;
     if (std::exchange(session->ejected, ejected) == ejected) continue;
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -247,7 +247,7 @@
 void GroupOwner::OnWorker(const StoreEvent& event) {
   const std::string_view prefix = this->schema->WorkerPrefix();
   const std::string id = event.item.key.substr(prefix.size());
-  WorkerSession* session = this->context.workers.At(WorkerId(id));
+  WorkerSession* session = this->context.workers.FindLatest(WorkerId(id));
   if (event.deleted) {
     this->MarkUnlisted(session, event.item.revision);
     return;
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -111,7 +111,7 @@
     if (over && session->runs.empty()) finished.push_back(id);
   }
   for (const WorkerId& id : finished) {
-    WorkerSession* session = this->context->workers.At(id);
+    WorkerSession* session = this->context->workers.FindLatest(id);
     // An entry of a life that is over stays until the platform removes it.
     if (session->listed) continue;
     this->context->health.Remove(id);
@@ -126,7 +126,7 @@
   WorkerSession* session =
       this->context->runs->NoteAnswer(worker, asked, result.order, &result);
   if (session == nullptr) return;
-  if (!MayBeSame(session->Incarnation(), worker)) {
+  if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
     // The hold carried the token of the former life.
     this->Pump(session);
     return;
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -16,7 +16,7 @@
 /// How long a worker may go on with what an order started that was meant for
 /// its former life: the lease in it counts on another clock, and the worker
 /// shortens it to the longest that it gives.
-Duration LongestLease() {
+Duration MaxLeaseDuration() {
   const auto lease = static_cast<double>(kMaxWorkerLease.count());
   return Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
          kLeaseExpiryMargin;
@@ -29,17 +29,18 @@
 
 WorkerSession* IncarnationTracker::NoteEntry(const WorkerInfo& info,
                                              Instant inherited_until) {
-  WorkerSession* known = this->context->workers.At(info.incarnation.id);
+  WorkerSession* known = this->context->workers.FindLatest(info.incarnation.id);
   if (known == nullptr) {
     this->context->health.Add(info.incarnation.id);
-    return this->Enter(info, inherited_until);
+    return this->AddSession(info, inherited_until);
   }
-  if (!MayBeSame(known->Incarnation(), info.incarnation)) {
+  if (!MayBeSameIncarnation(known->Incarnation(), info.incarnation)) {
     // A life that was met by its answer has yet to write its first entry.
-    if (info.incarnation.born_ms < known->Incarnation().born_ms) return nullptr;
-    return this->BeginLife(known, info, "entry", nullptr);
+    if (info.incarnation.start_unix_ms < known->Incarnation().start_unix_ms)
+      return nullptr;
+    return this->BeginIncarnation(known, info, "entry", nullptr);
   }
-  known->LearnBirth(info.incarnation.born_ms);
+  known->SetStartTimeIfUnknown(info.incarnation.start_unix_ms);
   known->described = true;
   return known;
 }
@@ -51,62 +52,62 @@
   WorkerSession* known = this->context->workers.Find(meant);
   if (known == nullptr) return nullptr;
   // Another worker at its address says nothing about lives under this id.
-  if (result.end == OrderEnd::kOtherLife) return known;
-  const WorkerIncarnation answered{meant.id, result.born_ms};
-  if (MayBeSame(known->Incarnation(), answered)) {
-    known->LearnBirth(result.born_ms);
+  if (result.end == OrderEnd::kOtherIncarnation) return known;
+  const WorkerIncarnation answered{meant.id, result.start_unix_ms};
+  if (MayBeSameIncarnation(known->Incarnation(), answered)) {
+    known->SetStartTimeIfUnknown(result.start_unix_ms);
     return known;
   }
   // An answer may be overtaken by one of the next life. But no former life
   // answers what was asked once the present one was known, whatever the clock
   // said at its start.
   const bool later = asked >= known->KnownSince() ||
-                     result.born_ms > known->Incarnation().born_ms;
+                     result.start_unix_ms > known->Incarnation().start_unix_ms;
   if (!later) return nullptr;
-  return this->MeetLife(known, answered, "answer", lists);
+  return this->BeginUndescribedIncarnation(known, answered, "answer", lists);
 }
 
 WorkerSession* IncarnationTracker::NoteStored(const WorkerIncarnation& worker,
                                               Instant inherited_until) {
-  WorkerSession* known = this->context->workers.At(worker.id);
+  WorkerSession* known = this->context->workers.FindLatest(worker.id);
   if (known == nullptr) {
     // Its entry is gone from the store; the worker may live on all the same.
     WorkerInfo unknown;
     unknown.incarnation = worker;
-    WorkerSession* added = this->Enter(unknown, inherited_until);
+    WorkerSession* added = this->AddSession(unknown, inherited_until);
     added->listed = false;
     return added;
   }
-  const bool entry_is_older = !MayBeSame(known->Incarnation(), worker) &&
-                              known->Incarnation().born_ms < worker.born_ms;
+  const bool entry_is_older =
+      !MayBeSameIncarnation(known->Incarnation(), worker) &&
+      known->Incarnation().start_unix_ms < worker.start_unix_ms;
   if (!entry_is_older) return known;
-  return this->MeetLife(known, worker, "progress", nullptr);
+  return this->BeginUndescribedIncarnation(known, worker, "progress", nullptr);
 }
 
-WorkerSession* IncarnationTracker::MeetLife(WorkerSession* known,
-                                            const WorkerIncarnation& met,
-                                            std::string_view seen_in,
-                                            const HoldResult* lists) {
+WorkerSession* IncarnationTracker::BeginUndescribedIncarnation(
+    WorkerSession* known, const WorkerIncarnation& met,
+    std::string_view seen_in, const HoldResult* lists) {
   WorkerInfo info = known->info;
   info.incarnation = met;
-  WorkerSession* next = this->BeginLife(known, info, seen_in, lists);
+  WorkerSession* next = this->BeginIncarnation(known, info, seen_in, lists);
   // It may be of another kind, and have other room.
   next->described = false;
   return next;
 }
 
-WorkerSession* IncarnationTracker::Enter(const WorkerInfo& info,
-                                         Instant inherited_until) {
+WorkerSession* IncarnationTracker::AddSession(const WorkerInfo& info,
+                                              Instant inherited_until) {
   WorkerSession* added = this->context->workers.Add(
       info, this->context->executor->Now(), inherited_until);
   added->token = this->context->token;
   return added;
 }
 
-WorkerSession* IncarnationTracker::BeginLife(WorkerSession* former,
-                                             const WorkerInfo& info,
-                                             std::string_view seen_in,
-                                             const HoldResult* lists) {
+WorkerSession* IncarnationTracker::BeginIncarnation(WorkerSession* former,
+                                                    const WorkerInfo& info,
+                                                    std::string_view seen_in,
+                                                    const HoldResult* lists) {
   this->context->log->Write("workers", "worker-restarted",
                             {{"worker", Text(info.incarnation)},
                              {"former", Text(former->Incarnation())},
@@ -127,8 +128,8 @@
   const bool listed = former->listed;
   this->context->health.Remove(info.incarnation.id);
   this->context->health.Add(info.incarnation.id);
-  WorkerSession* next =
-      this->Enter(info, this->context->executor->Now() + LongestLease());
+  WorkerSession* next = this->AddSession(
+      info, this->context->executor->Now() + MaxLeaseDuration());
   next->listed = listed;
   // Orders for the former life may still arrive. Each start and each end that
   // was told went after a write, so this is above what they carry.
--- a/packages/jobs/src/incarnation_tracker.h
+++ b/packages/jobs/src/incarnation_tracker.h
@@ -35,13 +35,16 @@
                             Instant inherited_until);
 
  private:
-  WorkerSession* Enter(const WorkerInfo& info, Instant inherited_until);
+  WorkerSession* AddSession(const WorkerInfo& info, Instant inherited_until);
   /// Begins a life whose own entry has not been read.
-  WorkerSession* MeetLife(WorkerSession* known, const WorkerIncarnation& met,
-                          std::string_view seen_in, const HoldResult* lists);
+  WorkerSession* BeginUndescribedIncarnation(WorkerSession* known,
+                                             const WorkerIncarnation& met,
+                                             std::string_view seen_in,
+                                             const HoldResult* lists);
   /// @param lists of the new life, if known
-  WorkerSession* BeginLife(WorkerSession* former, const WorkerInfo& info,
-                           std::string_view seen_in, const HoldResult* lists);
+  WorkerSession* BeginIncarnation(WorkerSession* former, const WorkerInfo& info,
+                                  std::string_view seen_in,
+                                  const HoldResult* lists);
 
   OwnerContext* context;
 };
--- a/packages/jobs/src/job.cc
+++ b/packages/jobs/src/job.cc
@@ -125,7 +125,7 @@
       return "no-ticket";
     case OrderEnd::kInvalid:
       return "invalid";
-    case OrderEnd::kOtherLife:
+    case OrderEnd::kOtherIncarnation:
       return "other-life";
     case OrderEnd::kRefused:
       return "refused";
--- a/packages/jobs/src/record_codec.cc
+++ b/packages/jobs/src/record_codec.cc
@@ -115,14 +115,14 @@
   stored->set_counted_run(task.counted_run);
   if (task.open) {
     stored->set_worker(task.worker.id.Text());
-    stored->set_worker_born_ms(task.worker.born_ms);
+    stored->set_worker_born_ms(task.worker.start_unix_ms);
   }
   stored->set_checkpoint(task.checkpoint);
   if (crashes == nullptr) return;
   for (const WorkerLoss& loss : crashes->Losses()) {
     stored::WorkerLoss* one = stored->add_losses();
     one->set_worker(loss.worker.id.Text());
-    one->set_worker_born_ms(loss.worker.born_ms);
+    one->set_worker_born_ms(loss.worker.start_unix_ms);
     one->set_certain(loss.certain);
     one->set_survived_us(loss.survived.count());
     one->set_alone(loss.alone);
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -47,7 +47,7 @@
 
 std::string_view Name(LossCause cause) {
   switch (cause) {
-    case LossCause::kOtherLife:
+    case LossCause::kOtherIncarnation:
       return "other-life";
     case LossCause::kLeaseLapsed:
       return "lease-lapsed";
@@ -145,7 +145,7 @@
   const Step* step = this->context->jobs.FindStep(run.task.step);
   WorkerSession* session =
       this->context->incarnations->NoteStored(worker, inherited_until);
-  if (!MayBeSame(session->Incarnation(), worker)) {
+  if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
     this->context->jobs.NoteLoss(run, {.worker = worker, .certain = true});
     SessionRun former;
     former.takes = TaskDemand(*step);
@@ -238,8 +238,8 @@
   WorkerSession* session =
       this->context->incarnations->NoteAnswer(worker, asked, result, lists);
   if (session == nullptr) return nullptr;
-  if (result.end == OrderEnd::kOtherLife) {
-    this->LoseAll(session, LossCause::kOtherLife);
+  if (result.end == OrderEnd::kOtherIncarnation) {
+    this->LoseAll(session, LossCause::kOtherIncarnation);
     return nullptr;
   }
   session->NoteClock({.clock_ms = result.clock_ms,
@@ -505,7 +505,7 @@
   }
   session->MarkSilent(this->context->executor->Now(), false);
   session->fenced = false;
-  session->gone = cause == LossCause::kOtherLife;
+  session->gone = cause == LossCause::kOtherIncarnation;
   const Outage outage = this->NoteOutage(*session);
   std::vector<RunRef> lost;
   for (const auto& [run, record] : session->runs) {
@@ -586,13 +586,13 @@
 bool RunControl::BlockIfMayStart(WorkerSession* session, const RunRef& run,
                                  LossCause cause) {
   SessionRun* record = session->FindRun(run);
-  if (record == nullptr || cause == LossCause::kOtherLife) return false;
+  if (record == nullptr || cause == LossCause::kOtherIncarnation) return false;
   if (cause == LossCause::kRestarted) return record->MayStartLate();
   if (record->blocked) return true;
   // Failure: a worker that can't be reached has started again, and carries out
   // a start that its former life left unanswered.
   const Instant now = this->context->executor->Now();
-  const bool restarts = session->Incarnation().born_ms != 0;
+  const bool restarts = session->Incarnation().start_unix_ms != 0;
   const bool unanswered = record->order_in_flight || record->start_unanswered;
   const bool may_start = record->start_sent + kLateStartWindow > now;
   if (!restarts || !unanswered || !may_start) return false;
--- a/packages/jobs/src/run_control.h
+++ b/packages/jobs/src/run_control.h
@@ -15,7 +15,7 @@
 /// Why all that ran on a worker has ended.
 enum class LossCause {
   /// Another life of the worker answers at its address.
-  kOtherLife,
+  kOtherIncarnation,
   /// Its lease has lapsed by any clock.
   kLeaseLapsed,
   /// It has started again under its id.
--- a/packages/jobs/src/worker_incarnation.cc
+++ b/packages/jobs/src/worker_incarnation.cc
@@ -2,16 +2,17 @@
 
 namespace mustardproxy::jobs {
 
-bool MayBeSame(const WorkerIncarnation& a, const WorkerIncarnation& b) {
-  const bool known = a.born_ms != 0 && b.born_ms != 0;
-  return a.id == b.id && (!known || a.born_ms == b.born_ms);
+bool MayBeSameIncarnation(const WorkerIncarnation& a,
+                          const WorkerIncarnation& b) {
+  const bool known = a.start_unix_ms != 0 && b.start_unix_ms != 0;
+  return a.id == b.id && (!known || a.start_unix_ms == b.start_unix_ms);
 }
 
 std::string Text(const WorkerIncarnation& worker) {
   std::string text = worker.id.Text();
-  if (worker.born_ms == 0) return text;
+  if (worker.start_unix_ms == 0) return text;
   text += '@';
-  text += std::to_string(worker.born_ms);
+  text += std::to_string(worker.start_unix_ms);
   return text;
 }
 
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -27,9 +27,9 @@
       known_since(known_since),
       lapses_at(inherited_until) {}
 
-void WorkerSession::LearnBirth(std::int64_t born_ms) {
-  if (this->info.incarnation.born_ms == 0) {
-    this->info.incarnation.born_ms = born_ms;
+void WorkerSession::SetStartTimeIfUnknown(std::int64_t start_unix_ms) {
+  if (this->info.incarnation.start_unix_ms == 0) {
+    this->info.incarnation.start_unix_ms = start_unix_ms;
   }
 }
 
--- a/packages/jobs/src/worker_session.h
+++ b/packages/jobs/src/worker_session.h
@@ -108,7 +108,7 @@
   /// @return since when this life is known
   [[nodiscard]] Instant KnownSince() const { return this->known_since; }
   /// Takes note of when the life began, if that was not known.
-  void LearnBirth(std::int64_t born_ms);
+  void SetStartTimeIfUnknown(std::int64_t start_unix_ms);
 
   /// @return a worker's time, on its clock, at which a lease given now ends
   /// @param now sending time of the order
--- a/packages/jobs/src/worker_table.cc
+++ b/packages/jobs/src/worker_table.cc
@@ -11,13 +11,13 @@
 }
 
 WorkerSession* WorkerTable::Find(const WorkerIncarnation& worker) const {
-  WorkerSession* latest = this->At(worker.id);
+  WorkerSession* latest = this->FindLatest(worker.id);
   const bool lives =
-      latest != nullptr && MayBeSame(latest->Incarnation(), worker);
+      latest != nullptr && MayBeSameIncarnation(latest->Incarnation(), worker);
   return lives ? latest : nullptr;
 }
 
-WorkerSession* WorkerTable::At(const WorkerId& id) const {
+WorkerSession* WorkerTable::FindLatest(const WorkerId& id) const {
   const auto found = this->sessions.find(id);
   return found == this->sessions.end() ? nullptr : found->second.get();
 }
--- a/packages/jobs/src/worker_table.h
+++ b/packages/jobs/src/worker_table.h
@@ -23,7 +23,7 @@
   /// @return the session, or null if that life is not known or over
   [[nodiscard]] WorkerSession* Find(const WorkerIncarnation& worker) const;
   /// @return the session of the latest life under an id, or null
-  [[nodiscard]] WorkerSession* At(const WorkerId& id) const;
+  [[nodiscard]] WorkerSession* FindLatest(const WorkerId& id) const;
   /// @return above the number of each session
   [[nodiscard]] SessionNumber NumberLimit() const { return this->next; }
 
--- a/testing/job_sim/include/job_sim/sim_ticket.h
+++ b/testing/job_sim/include/job_sim/sim_ticket.h
@@ -17,7 +17,7 @@
   mustardproxy::jobs::StepRef step;
   mustardproxy::WorkerId worker;
   /// Names the life of the worker.
-  std::int64_t born_ms = 0;
+  std::int64_t start_unix_ms = 0;
   mustardproxy::Instant expires;
 
   [[nodiscard]] std::string Text() const;
--- a/testing/job_sim/include/job_sim/sim_worker.h
+++ b/testing/job_sim/include/job_sim/sim_worker.h
@@ -121,7 +121,7 @@
   [[nodiscard]] SimWorker* Find(const std::string& id);
   /// @return the life under an id that was born then, or null
   [[nodiscard]] SimWorker* FindLife(const std::string& id,
-                                    std::int64_t born_ms);
+                                    std::int64_t start_unix_ms);
   [[nodiscard]] std::vector<SimWorker*> Alive();
   /// @return how many addresses there are
   [[nodiscard]] std::size_t Size() const { return this->at_address.size(); }
--- a/testing/job_sim/src/sim_cell.cc
+++ b/testing/job_sim/src/sim_cell.cc
@@ -199,9 +199,9 @@
     for (const WorkerId& worker : question.workers) {
       if (!this->Permits(queue, question.step, worker)) continue;
       const SimWorker* known = this->cell->workers.Find(worker.Text());
-      const std::int64_t born_ms =
-          known == nullptr ? 0 : known->Info().incarnation.born_ms;
-      const SimTicket ticket{question.step, worker, born_ms, expires};
+      const std::int64_t start_unix_ms =
+          known == nullptr ? 0 : known->Info().incarnation.start_unix_ms;
+      const SimTicket ticket{question.step, worker, start_unix_ms, expires};
       advice.permitted.push_back({worker, ticket.Text()});
     }
     const Duration delay =
@@ -228,7 +228,7 @@
     std::string life = name;
     // Another life may be of another kind.
     if (!by_address && known != nullptr && this->cell->reuses_ids) {
-      life += "@" + std::to_string(known->Info().incarnation.born_ms);
+      life += "@" + std::to_string(known->Info().incarnation.start_unix_ms);
     }
     const std::size_t drawn =
         std::hash<std::string>{}(jobs::Text(step) + life) % kSteps;
@@ -366,7 +366,7 @@
   info.rack = "rack-" + std::to_string(number / this->workers_per_rack);
   info.labels = {"a", info.rack};
   info.capacity = capacity;
-  info.incarnation.born_ms = this->NewBirth();
+  info.incarnation.start_unix_ms = this->NewBirth();
   this->whole_capacity[info.address] = capacity;
   SimWorker* worker = this->workers.Add(info);
   this->WriteEntry(*worker, "ready");
@@ -383,9 +383,9 @@
 
 void SimCell::WriteEntry(const SimWorker& worker, std::string_view state) {
   const jobs::WorkerInfo& info = worker.Info();
-  this->store.Put(
-      std::string(kWorkerPrefix) + info.incarnation.id.Text(),
-      std::string(state) + " " + std::to_string(info.incarnation.born_ms));
+  this->store.Put(std::string(kWorkerPrefix) + info.incarnation.id.Text(),
+                  std::string(state) + " " +
+                      std::to_string(info.incarnation.start_unix_ms));
 }
 
 void SimCell::VaryCapacity(double least) { this->least_capacity = least; }
@@ -414,7 +414,7 @@
 
 void SimCell::BeginNextLife(const SimWorker& former) {
   jobs::WorkerInfo info = former.Info();
-  info.incarnation.born_ms = this->NewBirth();
+  info.incarnation.start_unix_ms = this->NewBirth();
   if (!this->reuses_ids) {
     info.incarnation.id = WorkerId("w" + std::to_string(this->next_worker++));
     this->WriteEntry(*this->workers.Add(info), "ready");
--- a/testing/job_sim/src/sim_ticket.cc
+++ b/testing/job_sim/src/sim_ticket.cc
@@ -7,7 +7,7 @@
 
 std::string Scope(const SimTicket& ticket) {
   return mustardproxy::jobs::Text(ticket.step) + "@" + ticket.worker.Text() +
-         "@" + std::to_string(ticket.born_ms) + "@";
+         "@" + std::to_string(ticket.start_unix_ms) + "@";
 }
 
 }  // namespace
--- a/testing/job_sim/src/sim_worker.cc
+++ b/testing/job_sim/src/sim_worker.cc
@@ -118,7 +118,8 @@
   const SimJob* job = this->all->promises->Find(order.run.task.step.job);
   if (job == nullptr || !job->job.queue.advice) return true;
   const SimTicket now{order.run.task.step, this->info.incarnation.id,
-                      this->info.incarnation.born_ms, this->all->time->Now()};
+                      this->info.incarnation.start_unix_ms,
+                      this->all->time->Now()};
   return now.Admits(order.ticket);
 }
 
@@ -264,7 +265,7 @@
 jobs::HoldResult SimWorker::Lists() const {
   jobs::HoldResult lists;
   lists.order = this->Refuse(OrderEnd::kDone);
-  lists.order.born_ms = this->info.incarnation.born_ms;
+  lists.order.start_unix_ms = this->info.incarnation.start_unix_ms;
   for (const auto& [run, record] : this->running) {
     lists.running.push_back({run, this->Checkpoint(record), 0, 0});
   }
@@ -365,13 +366,16 @@
   return found == this->workers.end() ? nullptr : found->second.get();
 }
 
-SimWorker* SimWorkers::FindLife(const std::string& id, std::int64_t born_ms) {
+SimWorker* SimWorkers::FindLife(const std::string& id,
+                                std::int64_t start_unix_ms) {
   SimWorker* latest = this->Find(id);
-  if (latest == nullptr || latest->Info().incarnation.born_ms == born_ms)
+  if (latest == nullptr ||
+      latest->Info().incarnation.start_unix_ms == start_unix_ms)
     return latest;
   for (const auto& life : this->former) {
     const jobs::WorkerInfo& info = life->Info();
-    if (info.incarnation.id.Text() == id && info.incarnation.born_ms == born_ms)
+    if (info.incarnation.id.Text() == id &&
+        info.incarnation.start_unix_ms == start_unix_ms)
       return life.get();
   }
   return nullptr;
@@ -465,7 +469,7 @@
       SetEnd(&refused, OrderEnd::kRefused);
       back(refused);
     } else if (at->Info().incarnation.id != target.incarnation.id) {
-      SetEnd(&refused, OrderEnd::kOtherLife);
+      SetEnd(&refused, OrderEnd::kOtherIncarnation);
       back(refused);
     } else {
       // One that crashes as it carries the order out closes the connection.
