--- a/packages/jobs/include/mustardproxy/jobs/desired_state.h
+++ b/packages/jobs/include/mustardproxy/jobs/desired_state.h
@@ -15,7 +15,7 @@
   ServiceId id;
   /// Its workers refuse what does not fit; else they start whatever they are
   /// told to.
-  bool workers_guard_capacity = false;
+  bool workers_enforce_capacity = false;
   /// Its hosts are switched off until they are moved to another pool.
   bool standby = false;
 
--- a/packages/jobs/include/mustardproxy/jobs/key_value_store.h
+++ b/packages/jobs/include/mustardproxy/jobs/key_value_store.h
@@ -69,12 +69,12 @@
 inline constexpr std::size_t kMaxTransactionEntries = 32;
 
 /// How a write ended.
-enum class CommitEnd {
+enum class CommitOutcome {
   kCommitted,
   /// A condition does not hold; nothing was written.
   kConflict,
   /// The lease named has ended; nothing was written.
-  kLeaseGone,
+  kLeaseNotFound,
   /// The store refused or was never reached; nothing was or will be written.
   kNotDone,
   /// No answer: it may have been written, or be written seconds later if its
@@ -83,7 +83,7 @@
 };
 
 struct CommitResult {
-  CommitEnd end = CommitEnd::kUncertain;
+  CommitOutcome end = CommitOutcome::kUncertain;
   /// Of all keys written, if committed.
   Revision revision = 0;
   /// Present state of the keys in the conditions, after a conflict; absent keys
--- a/packages/jobs/include/mustardproxy/jobs/worker_driver.h
+++ b/packages/jobs/include/mustardproxy/jobs/worker_driver.h
@@ -75,21 +75,21 @@
 struct HoldOrder {
   std::int64_t lease_until_ms = 0;
   /// Ends up to this number are forgotten there.
-  std::int64_t last_noted_end = 0;
+  std::int64_t acknowledged_end = 0;
   /// How long the answer may wait for an end.
   Duration wait{0};
   FencingToken token = 0;
 };
 
 /// How an order ended.
-enum class OrderEnd {
+enum class OrderOutcome {
   kDone,
   /// The worker has seen a higher token.
   kFenced,
   /// This run, or a higher one, has been there already, or was stopped before.
   kOldRun,
   /// The lease would have lapsed on arrival.
-  kLate,
+  kLeaseExpired,
   kNoRoom,
   /// The permission is missing or has lapsed.
   kNoTicket,
@@ -103,7 +103,7 @@
 };
 
 struct OrderResult {
-  OrderEnd end = OrderEnd::kUncertain;
+  OrderOutcome end = OrderOutcome::kUncertain;
   /// The worker's clock, if it answered; else 0.
   std::int64_t clock_ms = 0;
   /// Start of the life that answered, in Unix milliseconds; 0 if the answer
@@ -127,13 +127,13 @@
   /// The lease of the worker lapsed.
   kLapsed,
   /// Another member of its gang ended.
-  kBroken,
+  kGangMemberEnded,
   /// The other members of its gang did not come in time.
-  kAlone,
+  kGangIncomplete,
 };
 
 [[nodiscard]] std::string_view Name(RunEnd end);
-[[nodiscard]] std::string_view Name(OrderEnd end);
+[[nodiscard]] std::string_view Name(OrderOutcome end);
 
 struct EndedRun {
   /// Counts the ends of one life of the worker from 1.
@@ -152,7 +152,7 @@
   bool more_ended = false;
 
   /// @return all runs that either list names
-  [[nodiscard]] std::set<RunRef> Listed() const;
+  [[nodiscard]] std::set<RunRef> ListedRuns() const;
 };
 
 /// Sends orders to workers. Each ends by one call of `done` on the control
--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -101,8 +101,8 @@
       std::move(transaction),
       this->guard.Wrap([this, used](const CommitResult& result) {
         if (used != this->lease || this->leaving) return;
-        if (result.end == CommitEnd::kCommitted) return;
-        if (result.end == CommitEnd::kLeaseGone) {
+        if (result.end == CommitOutcome::kCommitted) return;
+        if (result.end == CommitOutcome::kLeaseNotFound) {
           this->LoseLease("lapsed before registration");
           return;
         }
@@ -261,21 +261,21 @@
 
 void CellMember::OnElectionResult(const CommitResult& result) {
   switch (result.end) {
-    case CommitEnd::kCommitted:
+    case CommitOutcome::kCommitted:
       this->electing = false;
       this->BecomeOwner(result.revision);
       return;
-    case CommitEnd::kConflict:
+    case CommitOutcome::kConflict:
       // Another process was first, and the mirror soon shows which. Failure:
       // the former owner's key was deleted with its lease while the write was
       // in flight; the mirror has reported that already, no further event
       // follows, and the group stays without an owner. So the key is read again
       // below.
-    case CommitEnd::kUncertain:
+    case CommitOutcome::kUncertain:
       this->VerifyElection();
       return;
-    case CommitEnd::kLeaseGone:
-    case CommitEnd::kNotDone:
+    case CommitOutcome::kLeaseNotFound:
+    case CommitOutcome::kNotDone:
       break;
   }
   this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
--- a/packages/jobs/src/ended_jobs.cc
+++ b/packages/jobs/src/ended_jobs.cc
@@ -85,7 +85,7 @@
 void EndedJobs::OnRemoved(const std::vector<JobId>& removed,
                           const CommitResult& result) {
   // Otherwise the next round tries again.
-  if (result.end != CommitEnd::kCommitted) return;
+  if (result.end != CommitOutcome::kCommitted) return;
   for (const JobId& id : removed) {
     this->ends.erase(id);
     this->order.pop_front();
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -59,7 +59,7 @@
   const bool untold = session.noted_end > session.told_end;
   const bool verified =
       !session.suspect && now < session.verified + kTellWithin;
-  if (untold && verified) order.last_noted_end = session.noted_end;
+  if (untold && verified) order.acknowledged_end = session.noted_end;
   // Failure: a worker is gone for good and each try to reach it puts the moment
   // off at which its lease has lapsed for certain, so that its tasks never
   // start elsewhere. A silent worker is only asked, and its lease runs out.
@@ -131,19 +131,19 @@
     this->Pump(session);
     return;
   }
-  if (result.order.end != OrderEnd::kDone) {
+  if (result.order.end != OrderOutcome::kDone) {
     this->OnSilence(session, result.order.end,
                     asked + std::max(sent.wait, kConnectionClosedThreshold));
     return;
   }
-  session->told_end = std::max(session->told_end, sent.last_noted_end);
+  session->told_end = std::max(session->told_end, sent.acknowledged_end);
   this->OnAnswer(session, asked, result);
 }
 
-void HoldLoop::OnSilence(WorkerSession* session, OrderEnd end,
+void HoldLoop::OnSilence(WorkerSession* session, OrderOutcome end,
                          Instant broken_before) {
   const Instant now = this->context->executor->Now();
-  const bool exact = end == OrderEnd::kUncertain && now < broken_before;
+  const bool exact = end == OrderOutcome::kUncertain && now < broken_before;
   if (session->MarkSilent(now, exact)) {
     this->context->log->Write("workers", "worker-silent",
                               {{"worker", Text(session->Incarnation())},
@@ -227,7 +227,7 @@
 void HoldLoop::DropUnlisted(WorkerSession* session, Instant asked,
                             const HoldResult& result) {
   if (result.more_ended) return;
-  const std::set<RunRef> listed = result.Listed();
+  const std::set<RunRef> listed = result.ListedRuns();
   std::vector<RunRef> gone;
   for (const auto& [run, record] : session->runs) {
     const bool must_show = record.listed_from && *record.listed_from <= asked &&
--- a/packages/jobs/src/hold_loop.h
+++ b/packages/jobs/src/hold_loop.h
@@ -33,7 +33,8 @@
   void OnAnswer(WorkerSession* session, Instant asked,
                 const HoldResult& result);
   /// @param broken_before a call that ended earlier was not timed out
-  void OnSilence(WorkerSession* session, OrderEnd end, Instant broken_before);
+  void OnSilence(WorkerSession* session, OrderOutcome end,
+                 Instant broken_before);
   void ReadRunning(WorkerSession* session, const HoldResult& result);
   void ReadEnded(WorkerSession* session, const HoldResult& result);
   void DropUnlisted(WorkerSession* session, Instant asked,
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -52,7 +52,7 @@
   WorkerSession* known = this->context->workers.Find(meant);
   if (known == nullptr) return nullptr;
   // Another worker at its address says nothing about lives under this id.
-  if (result.end == OrderEnd::kOtherIncarnation) return known;
+  if (result.end == OrderOutcome::kOtherIncarnation) return known;
   const WorkerIncarnation answered{meant.id, result.start_unix_ms};
   if (MayBeSameIncarnation(known->Incarnation(), answered)) {
     known->SetStartTimeIfUnknown(result.start_unix_ms);
@@ -116,7 +116,7 @@
   // Started without a sign that another life had taken the start.
   std::vector<std::pair<RunRef, SessionRun>> moved;
   const std::set<RunRef> taken =
-      lists == nullptr ? std::set<RunRef>() : lists->Listed();
+      lists == nullptr ? std::set<RunRef>() : lists->ListedRuns();
   for (const RunRef& run : taken) {
     const SessionRun* record = former->FindRun(run);
     if (record == nullptr) continue;
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -163,7 +163,7 @@
                               const CommitResult& result) {
   --this->in_flight;
   const Instant now = this->parts.executor->Now();
-  if (result.end == CommitEnd::kUncertain) {
+  if (result.end == CommitOutcome::kUncertain) {
     this->gate.OnUnanswered(sent, now);
   } else {
     this->gate.OnAnswered(sent, now);
@@ -175,16 +175,16 @@
 
 void Intake::OnCommitted(const std::vector<EntryPtr>& batch,
                          const CommitResult& result) {
-  if (result.end == CommitEnd::kConflict) {
+  if (result.end == CommitOutcome::kConflict) {
     this->OnConflict(batch, result);
     return;
   }
   for (const EntryPtr& entry : batch) {
-    if (result.end == CommitEnd::kCommitted) {
+    if (result.end == CommitOutcome::kCommitted) {
       this->Accept(entry, "created", result.revision);
       continue;
     }
-    if (result.end == CommitEnd::kUncertain) entry->uncertain = true;
+    if (result.end == CommitOutcome::kUncertain) entry->uncertain = true;
     this->Continue(entry);
   }
 }
--- a/packages/jobs/src/job.cc
+++ b/packages/jobs/src/job.cc
@@ -94,42 +94,42 @@
       return "stopped";
     case RunEnd::kLapsed:
       return "lapsed";
-    case RunEnd::kBroken:
+    case RunEnd::kGangMemberEnded:
       return "broken";
-    case RunEnd::kAlone:
+    case RunEnd::kGangIncomplete:
       return "alone";
   }
   return "unknown";
 }
 
-std::set<RunRef> HoldResult::Listed() const {
+std::set<RunRef> HoldResult::ListedRuns() const {
   std::set<RunRef> listed;
   for (const RunningRun& one : this->running) listed.insert(one.run);
   for (const EndedRun& one : this->ended) listed.insert(one.run);
   return listed;
 }
 
-std::string_view Name(OrderEnd end) {
+std::string_view Name(OrderOutcome end) {
   switch (end) {
-    case OrderEnd::kDone:
+    case OrderOutcome::kDone:
       return "done";
-    case OrderEnd::kFenced:
+    case OrderOutcome::kFenced:
       return "fenced";
-    case OrderEnd::kOldRun:
+    case OrderOutcome::kOldRun:
       return "old-run";
-    case OrderEnd::kLate:
+    case OrderOutcome::kLeaseExpired:
       return "late";
-    case OrderEnd::kNoRoom:
+    case OrderOutcome::kNoRoom:
       return "no-room";
-    case OrderEnd::kNoTicket:
+    case OrderOutcome::kNoTicket:
       return "no-ticket";
-    case OrderEnd::kInvalid:
+    case OrderOutcome::kInvalid:
       return "invalid";
-    case OrderEnd::kOtherIncarnation:
+    case OrderOutcome::kOtherIncarnation:
       return "other-life";
-    case OrderEnd::kRefused:
+    case OrderOutcome::kRefused:
       return "refused";
-    case OrderEnd::kUncertain:
+    case OrderOutcome::kUncertain:
       return "uncertain";
   }
   return "unknown";
--- a/packages/jobs/src/progress_writer.cc
+++ b/packages/jobs/src/progress_writer.cc
@@ -137,18 +137,18 @@
 }
 
 void ProgressWriter::OnWritten(Batch batch, const CommitResult& result) {
-  const bool answered =
-      result.end == CommitEnd::kCommitted || result.end == CommitEnd::kConflict;
+  const bool answered = result.end == CommitOutcome::kCommitted ||
+                        result.end == CommitOutcome::kConflict;
   if (answered != this->store_answers) {
     this->store_answers = answered;
     this->log->Write("store", answered ? "writes-regained" : "writes-lost",
                      {{"waiting", this->Backlog()}});
   }
-  if (result.end == CommitEnd::kConflict) {
+  if (result.end == CommitOutcome::kConflict) {
     this->OnConflict(std::move(batch), result);
     return;
   }
-  if (result.end != CommitEnd::kCommitted) {
+  if (result.end != CommitOutcome::kCommitted) {
     this->Requeue(std::move(batch));
     this->next_write = this->executor->Now() + kStoreRetryDelay;
     this->Flush();
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -27,10 +27,10 @@
 constexpr Duration kRecentAnswer = milliseconds(2000);
 
 /// @return true if the answer proves that this order started nothing
-bool ProvesNotStarted(OrderEnd end) {
-  return end == OrderEnd::kLate || end == OrderEnd::kNoRoom ||
-         end == OrderEnd::kNoTicket || end == OrderEnd::kInvalid ||
-         end == OrderEnd::kRefused;
+bool ProvesNotStarted(OrderOutcome end) {
+  return end == OrderOutcome::kLeaseExpired || end == OrderOutcome::kNoRoom ||
+         end == OrderOutcome::kNoTicket || end == OrderOutcome::kInvalid ||
+         end == OrderOutcome::kRefused;
 }
 
 std::string_view Name(RunPhase phase) {
@@ -238,14 +238,14 @@
   WorkerSession* session =
       this->context->incarnations->NoteAnswer(worker, asked, result, lists);
   if (session == nullptr) return nullptr;
-  if (result.end == OrderEnd::kOtherIncarnation) {
+  if (result.end == OrderOutcome::kOtherIncarnation) {
     this->LoseAll(session, LossCause::kOtherIncarnation);
     return nullptr;
   }
   session->NoteClock({.clock_ms = result.clock_ms,
                       .asked = asked,
                       .answered = this->context->executor->Now()});
-  if (result.end == OrderEnd::kFenced) {
+  if (result.end == OrderOutcome::kFenced) {
     this->context->step_down("a worker obeys a newer owner");
     return nullptr;
   }
@@ -259,12 +259,12 @@
   SessionRun* record = session->FindRun(run);
   if (record == nullptr) return;
   record->order_in_flight = false;
-  if (result.end == OrderEnd::kUncertain) record->start_unanswered = true;
+  if (result.end == OrderOutcome::kUncertain) record->start_unanswered = true;
   const bool broke =
-      result.end == OrderEnd::kUncertain &&
+      result.end == OrderOutcome::kUncertain &&
       this->context->executor->Now() - asked < kConnectionClosedThreshold;
-  if (broke || result.end == OrderEnd::kDone) record->reached = true;
-  if (result.end != OrderEnd::kDone) {
+  if (broke || result.end == OrderOutcome::kDone) record->reached = true;
+  if (result.end != OrderOutcome::kDone) {
     this->context->log->Write("jobs", "start-not-done",
                               {{"task", Text(run.task)},
                                {"run", run.run},
@@ -272,14 +272,16 @@
                                {"end", Name(result.end)},
                                {"first_try", first ? 1 : 0}});
   }
-  if (result.end == OrderEnd::kNoTicket) {
+  if (result.end == OrderOutcome::kNoTicket) {
     this->context->advice->DropTicket(run.task.step, session->Number());
   }
-  if (result.end == OrderEnd::kRefused || result.end == OrderEnd::kUncertain) {
+  if (result.end == OrderOutcome::kRefused ||
+      result.end == OrderOutcome::kUncertain) {
     session->MarkSilent(this->context->executor->Now(), broke);
     this->context->holds->Pump(session);
   }
-  if (result.end == OrderEnd::kDone || result.end == OrderEnd::kOldRun) {
+  if (result.end == OrderOutcome::kDone ||
+      result.end == OrderOutcome::kOldRun) {
     // "Old" after a lost answer: the run is, or was, there. The lists tell.
     record->phase = RunPhase::kStarted;
     record->listed_from = this->context->executor->Now();
@@ -301,7 +303,7 @@
 }
 
 void RunControl::OnRefused(WorkerSession* session, const RunRef& run,
-                           OrderEnd why) {
+                           OrderOutcome why) {
   TaskEntry* task = this->context->jobs.FindOpen(run);
   this->NotStarted(session, run);
   const Instant now = this->context->executor->Now();
@@ -311,7 +313,7 @@
     const std::int32_t doublings = std::min(task->refusals++, kMostDoublings);
     task->not_before = now + kTaskRetryDelay * (1 << doublings);
   }
-  if (why == OrderEnd::kRefused) {
+  if (why == OrderOutcome::kRefused) {
     this->context->health.OnFailure(now, session->Incarnation().id,
                                     session->info.service,
                                     RequestId(run.task.step.job.Text()));
@@ -399,7 +401,8 @@
   if (session == nullptr) return;
   SessionRun* record = session->FindRun(run);
   if (record == nullptr) return;
-  if (result.end == OrderEnd::kDone || result.end == OrderEnd::kOldRun) {
+  if (result.end == OrderOutcome::kDone ||
+      result.end == OrderOutcome::kOldRun) {
     record->stop_noted = true;
     record->listed_from = this->context->executor->Now();
     this->context->holds->Pump(session);
--- a/packages/jobs/src/run_control.h
+++ b/packages/jobs/src/run_control.h
@@ -85,7 +85,7 @@
   void OnStart(const WorkerIncarnation& worker, const RunRef& run, bool first,
                Instant asked, const OrderResult& result);
   /// A worker has turned the start down.
-  void OnRefused(WorkerSession* session, const RunRef& run, OrderEnd why);
+  void OnRefused(WorkerSession* session, const RunRef& run, OrderOutcome why);
   /// Takes a run back that was not started anywhere.
   void NotStarted(WorkerSession* session, const RunRef& run);
   void SendStop(const WorkerIncarnation& worker, const RunRef& run);
--- a/packages/jobs/src/stored_progress.cc
+++ b/packages/jobs/src/stored_progress.cc
@@ -70,7 +70,7 @@
         this->parts.log->Write(
             "jobs", "progress-removed",
             {{"job", id.Text()},
-             {"done", result.end == CommitEnd::kCommitted ? 1 : 0}});
+             {"done", result.end == CommitOutcome::kCommitted ? 1 : 0}});
       }));
 }
 
--- a/packages/jobs/tests/job_table_test.cc
+++ b/packages/jobs/tests/job_table_test.cc
@@ -101,8 +101,8 @@
   const StepEntry& step = entry->occurrences.at(0).steps[0];
   // Nobody of a new run may meet a member of the old one.
   BOOST_TEST(JobTable::Startable(*entry, step, 0, kLater).empty());
-  End(runs[1], RunEnd::kBroken);
-  End(runs[2], RunEnd::kBroken);
+  End(runs[1], RunEnd::kGangMemberEnded);
+  End(runs[2], RunEnd::kGangMemberEnded);
   BOOST_TEST(step.failed_gang_runs == 1);
   const auto again = Begin(entry, 0);
   BOOST_TEST(again.size() == 3U);
@@ -116,7 +116,7 @@
   JobEntry* entry = Add(spec);
   const auto runs = Begin(entry, 0);
   End(runs[0], RunEnd::kStopped, "half");
-  End(runs[1], RunEnd::kBroken);
+  End(runs[1], RunEnd::kGangMemberEnded);
   for (const TaskEntry& task : entry->occurrences.at(0).steps[0].tasks) {
     BOOST_TEST(task.checkpoint == "half");
   }
--- a/testing/job_sim/include/job_sim/sim_worker.h
+++ b/testing/job_sim/include/job_sim/sim_worker.h
@@ -66,7 +66,7 @@
   };
 
   [[nodiscard]] std::int64_t ClockMs() const;
-  jobs::OrderResult Refuse(jobs::OrderEnd end) const;
+  jobs::OrderResult Refuse(jobs::OrderOutcome end) const;
   bool Fenced(jobs::FencingToken token);
   void Extend(std::int64_t until_ms);
   void CheckLease();
--- a/testing/job_sim/src/sim_store.cc
+++ b/testing/job_sim/src/sim_store.cc
@@ -8,7 +8,7 @@
 namespace job_sim {
 namespace {
 
-using jobs::CommitEnd;
+using jobs::CommitOutcome;
 using jobs::CommitResult;
 using jobs::Revision;
 using jobs::StoreEvents;
@@ -86,7 +86,7 @@
     };
     if (this->process->store_cut || this->store->refusing) {
       time->After(this->store->latency, [answer] {
-        answer(CommitResult{CommitEnd::kNotDone, 0, {}});
+        answer(CommitResult{CommitOutcome::kNotDone, 0, {}});
       });
       return;
     }
@@ -218,12 +218,12 @@
     holds = holds && actual == condition.revision;
   }
   if (!holds) {
-    result.end = CommitEnd::kConflict;
+    result.end = CommitOutcome::kConflict;
     return result;
   }
   for (const jobs::StorePut& put : transaction.puts) {
     if (put.lease != 0 && !this->leases.contains(put.lease)) {
-      result.end = CommitEnd::kLeaseGone;
+      result.end = CommitOutcome::kLeaseNotFound;
       return result;
     }
   }
@@ -235,7 +235,7 @@
     if (this->items.contains(key)) this->Change(key, nullptr, 0);
   }
   this->WakeWatches();
-  return {CommitEnd::kCommitted, this->revision, {}};
+  return {CommitOutcome::kCommitted, this->revision, {}};
 }
 
 StorePage SimStore::List(const std::string& prefix, const std::string& after) {
--- a/testing/job_sim/src/sim_worker.cc
+++ b/testing/job_sim/src/sim_worker.cc
@@ -9,7 +9,7 @@
 namespace job_sim {
 namespace {
 
-using jobs::OrderEnd;
+using jobs::OrderOutcome;
 using jobs::OrderResult;
 using jobs::RunEnd;
 using std::chrono::milliseconds;
@@ -45,7 +45,7 @@
                                        static_cast<double>(Milliseconds(age)));
 }
 
-OrderResult SimWorker::Refuse(OrderEnd end) const {
+OrderResult SimWorker::Refuse(OrderOutcome end) const {
   return {end, this->ClockMs()};
 }
 
@@ -124,22 +124,22 @@
 }
 
 OrderResult SimWorker::Start(const jobs::StartOrder& order, bool late) {
-  if (this->refuses_all) return this->Refuse(OrderEnd::kRefused);
-  if (this->Fenced(order.token)) return this->Refuse(OrderEnd::kFenced);
+  if (this->refuses_all) return this->Refuse(OrderOutcome::kRefused);
+  if (this->Fenced(order.token)) return this->Refuse(OrderOutcome::kFenced);
   if (this->running.contains(order.run)) {
     this->Extend(order.lease_until_ms);
-    return this->Refuse(OrderEnd::kDone);
+    return this->Refuse(OrderOutcome::kDone);
   }
   const auto closed_run = this->closed.find(order.run.task);
   if (closed_run != this->closed.end() && order.run.run <= closed_run->second) {
     this->Extend(order.lease_until_ms);
-    return this->Refuse(OrderEnd::kOldRun);
+    return this->Refuse(OrderOutcome::kOldRun);
   }
   if (order.lease_until_ms <= this->ClockMs()) {
-    return this->Refuse(OrderEnd::kLate);
+    return this->Refuse(OrderOutcome::kLeaseExpired);
   }
   this->Extend(order.lease_until_ms);
-  if (!this->Permitted(order)) return this->Refuse(OrderEnd::kNoTicket);
+  if (!this->Permitted(order)) return this->Refuse(OrderOutcome::kNoTicket);
   this->CheckCapacity(order.run, late);
   this->all->promises->OnStart(this->info.incarnation.id.Text(), order.run,
                                late);
@@ -150,7 +150,7 @@
   this->running[order.run] = record;
   this->Begin(order.run, &this->running[order.run]);
   this->PlanCrash(order.run);
-  return this->Refuse(OrderEnd::kDone);
+  return this->Refuse(OrderOutcome::kDone);
 }
 
 void SimWorker::PlanCrash(const jobs::RunRef& run) {
@@ -206,7 +206,7 @@
 }
 
 OrderResult SimWorker::Stop(const jobs::StopOrder& order) {
-  if (this->Fenced(order.token)) return this->Refuse(OrderEnd::kFenced);
+  if (this->Fenced(order.token)) return this->Refuse(OrderOutcome::kFenced);
   jobs::RunNumber& closed_run = this->closed[order.run.task];
   closed_run = std::max(closed_run, order.run.run);
   if (this->running.contains(order.run)) {
@@ -214,7 +214,7 @@
       this->EndRun(run, RunEnd::kStopped);
     });
   }
-  return this->Refuse(OrderEnd::kDone);
+  return this->Refuse(OrderOutcome::kDone);
 }
 
 void SimWorker::EndRun(const jobs::RunRef& run, RunEnd end) {
@@ -236,13 +236,13 @@
                      std::function<void(jobs::HoldResult)> done) {
   if (this->Fenced(order.token)) {
     jobs::HoldResult refused;
-    refused.order = this->Refuse(OrderEnd::kFenced);
+    refused.order = this->Refuse(OrderOutcome::kFenced);
     done(refused);
     return;
   }
   this->Extend(order.lease_until_ms);
   std::erase_if(this->ended, [&](const Ended& entry) {
-    if (entry.run.number > order.last_noted_end) return false;
+    if (entry.run.number > order.acknowledged_end) return false;
     if (entry.lapses == this->lapses) {
       this->all->promises->OnNoted(entry.run.run, entry.run.end);
     }
@@ -264,7 +264,7 @@
 
 jobs::HoldResult SimWorker::Lists() const {
   jobs::HoldResult lists;
-  lists.order = this->Refuse(OrderEnd::kDone);
+  lists.order = this->Refuse(OrderOutcome::kDone);
   lists.order.start_unix_ms = this->info.incarnation.start_unix_ms;
   for (const auto& [run, record] : this->running) {
     lists.running.push_back({run, this->Checkpoint(record), 0, 0});
@@ -312,7 +312,7 @@
     if (found == this->gangs.end()) return;
     const auto size = std::ssize(found->second.members);
     if (size < this->promises->StepOf(key.first)->tasks) {
-      worker->EndRun(run, RunEnd::kAlone);
+      worker->EndRun(run, RunEnd::kGangIncomplete);
     }
   });
   if (std::ssize(gang.members) < step->tasks) return;
@@ -341,7 +341,7 @@
   this->gangs.erase(found);
   rest.members.erase(run);
   for (const auto& [member, at] : rest.members) {
-    at->EndRun(member, RunEnd::kBroken);
+    at->EndRun(member, RunEnd::kGangMemberEnded);
   }
 }
 
@@ -426,8 +426,10 @@
   }
 
  private:
-  static void SetEnd(OrderResult* result, OrderEnd end) { result->end = end; }
-  static void SetEnd(jobs::HoldResult* result, OrderEnd end) {
+  static void SetEnd(OrderResult* result, OrderOutcome end) {
+    result->end = end;
+  }
+  static void SetEnd(jobs::HoldResult* result, OrderOutcome end) {
     result->order.end = end;
   }
 
@@ -466,10 +468,10 @@
     SimWorker* at = this->workers->At(target.address);
     Outcome refused;
     if (at == nullptr || !at->Alive()) {
-      SetEnd(&refused, OrderEnd::kRefused);
+      SetEnd(&refused, OrderOutcome::kRefused);
       back(refused);
     } else if (at->Info().incarnation.id != target.incarnation.id) {
-      SetEnd(&refused, OrderEnd::kOtherIncarnation);
+      SetEnd(&refused, OrderOutcome::kOtherIncarnation);
       back(refused);
     } else {
       // One that crashes as it carries the order out closes the connection.
