--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -326,21 +326,21 @@
 
 Duration Dispatcher::Objective(const SchedulingUnit& unit) const {
   const JobEntry& entry = *unit.entry;
-  const Duration chain =
-      this->context->run_times.Expect(entry.job.queue.name, entry.whole_chain);
+  const Duration chain = this->context->run_times.Expect(entry.job.queue.name,
+                                                         entry.critical_path);
   return Scale(chain, unit.queue->stretch) + unit.queue->target;
 }
 
 void Dispatcher::Rank(SchedulingUnit* unit, Duration objective,
                       Instant now) const {
-  const Instant due = unit->entry->learnt + objective;
+  const Instant due = unit->entry->learned_at + objective;
   unit->start_by = due;
   if (unit->step->long_running) return;
   const auto step = static_cast<std::size_t>(unit->ref.step);
   const Duration chain = this->context->run_times.Expect(
-      unit->entry->job.queue.name, unit->entry->chains[step]);
+      unit->entry->job.queue.name, unit->entry->remaining_path[step]);
   unit->start_by = due - chain;
-  const Instant worthless = unit->entry->learnt + kExpiryFactor * objective;
+  const Instant worthless = unit->entry->learned_at + kExpiryFactor * objective;
   unit->deadlines = {.on_time = due - chain, .useful = worthless - chain};
   unit->deadline_status = unit->deadlines.At(now);
 }
@@ -479,7 +479,7 @@
   const std::span<const std::int32_t> tasks(unit->tasks.data(), workers.size());
   const std::vector<RunRef> runs =
       this->context->jobs.Begin(unit->entry, unit->ref, tasks, workers);
-  unit->entry->shown = unit->entry->state;
+  unit->entry->published_state = unit->entry->state;
   this->context->runs->Begin(*unit->entry, runs, workers);
   unit->tasks.erase(unit->tasks.begin(),
                     unit->tasks.begin() + std::ssize(workers));
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -196,7 +196,7 @@
       milliseconds(this->context.executor->UnixMs() - job->accepted_unix_ms);
   const bool plausible = age > Duration::zero() && age < kMaxPlausibleAge;
   JobEntry* entry = this->context.jobs.Add(std::move(*job), now);
-  if (plausible) entry->learnt = now - age;
+  if (plausible) entry->learned_at = now - age;
   if (!this->loaded) return entry;
   this->ClaimProgress(entry);
   this->context.log->Write("jobs", "job-learnt",
@@ -213,7 +213,7 @@
   this->context.log->Write(
       "jobs", "job-stored",
       {{"job", entry->job.id.Text()}, {"starts", entry->on_stored.size()}});
-  this->context.jobs.Resume(entry);
+  this->context.jobs.Reactivate(entry);
   for (const auto& start : std::exchange(entry->on_stored, {})) start();
   this->dispatcher->SchedulePass();
 }
@@ -223,7 +223,7 @@
   if (entry == nullptr || entry->stored) return;
   this->context.log->Write("jobs", "job-not-stored", {{"job", id.Text()}});
   entry->on_stored.clear();
-  this->context.jobs.Park(entry);
+  this->context.jobs.Deactivate(entry);
   this->runs->StopJob(*entry);
   this->parked.emplace_back(this->context.executor->Now(), id);
 }
@@ -238,7 +238,7 @@
   entry->stored = true;
   if (!this->context.jobs.Cancel(entry)) return;
   // The cancellation itself is stored already.
-  entry->shown = JobState::kCancelled;
+  entry->published_state = JobState::kCancelled;
   this->context.log->Write("jobs", "job-cancelled", {{"job", id.Text()}});
   this->runs->StoreFinal(entry);
   this->dispatcher->SchedulePass();
@@ -310,7 +310,7 @@
     return;
   }
   entry->progress_revision = item->revision;
-  entry->shown = entry->state;
+  entry->published_state = entry->state;
   if (IsFinal(entry->state)) {
     // Written by the previous version, which stored ends as progress.
     this->runs->StoreFinal(entry);
@@ -381,7 +381,7 @@
   const JobEntry* entry = this->context.jobs.Find(id);
   if (entry == nullptr) return this->ended->Find(id);
   if (!entry->stored) return std::nullopt;
-  return JobStatus{entry->shown, {}};
+  return JobStatus{entry->published_state, {}};
 }
 
 bool GroupOwner::HasFreshJobView() const {
@@ -423,7 +423,7 @@
 void GroupOwner::OpenDueOccurrences() {
   const std::int64_t unix_ms = this->context.executor->UnixMs();
   for (JobEntry* entry : this->context.jobs.Active()) {
-    JobTable::OpenDue(entry, unix_ms);
+    JobTable::OpenDueOccurrences(entry, unix_ms);
   }
 }
 
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -20,7 +20,7 @@
 }
 
 /// @return longest declared time from the start of `step` to the job's end
-Duration ChainFrom(const JobSpec& spec, std::size_t step) {
+Duration CriticalPathFrom(const JobSpec& spec, std::size_t step) {
   std::vector<Duration> longest(spec.steps.size(), Duration::zero());
   Duration most{0};
   for (std::size_t i = step; i < spec.steps.size(); ++i) {
@@ -39,11 +39,12 @@
   return most;
 }
 
-void MeasureChains(JobEntry* entry) {
+void ComputeCriticalPaths(JobEntry* entry) {
   const JobSpec& spec = entry->job.spec;
   for (std::size_t i = 0; i < spec.steps.size(); ++i) {
-    entry->chains.push_back(ChainFrom(spec, i));
-    entry->whole_chain = std::max(entry->whole_chain, entry->chains.back());
+    entry->remaining_path.push_back(CriticalPathFrom(spec, i));
+    entry->critical_path =
+        std::max(entry->critical_path, entry->remaining_path.back());
   }
 }
 
@@ -61,8 +62,8 @@
   if (slot) return slot.get();
   slot = std::make_unique<JobEntry>();
   slot->job = std::move(job);
-  slot->learnt = now;
-  MeasureChains(slot.get());
+  slot->learned_at = now;
+  ComputeCriticalPaths(slot.get());
   this->active.push_back(slot.get());
   if (slot->job.spec.schedule.occurrences == 0) {
     Open(slot.get(), 0);
@@ -104,7 +105,7 @@
   return schedule.first_unix_ms + entry.next_to_open * schedule.interval_ms;
 }
 
-bool JobTable::OpenDue(JobEntry* entry, std::int64_t unix_ms) {
+bool JobTable::OpenDueOccurrences(JobEntry* entry, std::int64_t unix_ms) {
   bool opened = false;
   for (auto due = NextDueMs(*entry); due && *due <= unix_ms;
        due = NextDueMs(*entry)) {
@@ -346,10 +347,10 @@
   return true;
 }
 
-void JobTable::Park(JobEntry* entry) { std::erase(this->active, entry); }
+void JobTable::Deactivate(JobEntry* entry) { std::erase(this->active, entry); }
 
-void JobTable::Resume(JobEntry* entry) {
-  this->Park(entry);
+void JobTable::Reactivate(JobEntry* entry) {
+  this->Deactivate(entry);
   if (!IsFinal(entry->state)) this->active.push_back(entry);
 }
 
--- a/packages/jobs/src/job_table.h
+++ b/packages/jobs/src/job_table.h
@@ -75,9 +75,9 @@
 struct JobEntry {
   Job job;
   /// By step: the longest chain of declared run times from its start on.
-  std::vector<Duration> chains;
+  std::vector<Duration> remaining_path;
   /// The longest of them, from the start of the job.
-  Duration whole_chain{0};
+  Duration critical_path{0};
   JobState state = JobState::kQueued;
   /// Why it failed, for callers.
   std::string failure;
@@ -92,9 +92,9 @@
   /// Those before are open or done.
   std::int32_t next_to_open = 0;
   /// When this owner learnt of it.
-  Instant learnt;
+  Instant learned_at;
   /// What callers are told: a final state only once it is stored.
-  JobState shown = JobState::kQueued;
+  JobState published_state = JobState::kQueued;
   /// Of its progress record; 0 if there is none.
   Revision progress_revision = 0;
   /// Its key is known to be in the store. Before, it may be placed, but nothing
@@ -129,7 +129,7 @@
 
   /// Opens the occurrences that are due.
   /// @return true if there are new ones
-  static bool OpenDue(JobEntry* entry, std::int64_t unix_ms);
+  static bool OpenDueOccurrences(JobEntry* entry, std::int64_t unix_ms);
   /// @return time of day of the next occurrence, if any
   [[nodiscard]] static std::optional<std::int64_t> NextDueMs(
       const JobEntry& entry);
@@ -195,8 +195,8 @@
     return this->jobs;
   }
   /// Takes a job off the active ones until it is resumed.
-  void Park(JobEntry* entry);
-  void Resume(JobEntry* entry);
+  void Deactivate(JobEntry* entry);
+  void Reactivate(JobEntry* entry);
   /// Takes a job off the active ones after its state was set from a record.
   void SetState(JobEntry* entry, JobState state);
   /// Makes the steps of an occurrence, if it has none.
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -90,7 +90,7 @@
        {"run", runs.front().run},
        {"worker", Text(workers.front())},
        {"version", this->context->desired->version},
-       {"waited_ms", WholeMilliseconds(now - entry.learnt)}});
+       {"waited_ms", WholeMilliseconds(now - entry.learned_at)}});
   // Failure: the owner dies right after a start, and its successor starts the
   // task elsewhere. The run and its worker are stored first, so the successor
   // knows where to look before it starts the task again.
--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -133,7 +133,7 @@
        {"could_fit", facts.could_fit},
        {"room", facts.room},
        {"fresh_room", facts.fresh_room},
-       {"waited_ms", WholeMilliseconds(now - unit.entry->learnt)}});
+       {"waited_ms", WholeMilliseconds(now - unit.entry->learned_at)}});
   const std::string label =
       "queue=" + unit.queue->name.Text() + ",reason=" + std::string(reason);
   this->metrics->Count("step_waits", label);
--- a/packages/jobs/tests/job_table_test.cc
+++ b/packages/jobs/tests/job_table_test.cc
@@ -139,8 +139,8 @@
   spec.schedule = {.first_unix_ms = 1000, .interval_ms = 500, .occurrences = 3};
   JobEntry* entry = Add(spec);
   BOOST_TEST(entry->occurrences.empty());
-  BOOST_TEST(!JobTable::OpenDue(entry, 999));
-  BOOST_TEST(JobTable::OpenDue(entry, 1600));
+  BOOST_TEST(!JobTable::OpenDueOccurrences(entry, 999));
+  BOOST_TEST(JobTable::OpenDueOccurrences(entry, 1600));
   BOOST_TEST(entry->occurrences.size() == 2U);
   const std::vector<std::int32_t> task{0};
   const std::vector<WorkerIncarnation> worker{{WorkerId("w")}};
@@ -152,7 +152,7 @@
   End(first[0], RunEnd::kDone);
   BOOST_TEST(entry->first_open == 2);
   BOOST_TEST((entry->state == JobState::kRunning));
-  JobTable::OpenDue(entry, 2000);
+  JobTable::OpenDueOccurrences(entry, 2000);
   const auto third = table.Begin(entry, {entry->job.id, 2, 0}, task, worker);
   BOOST_TEST(End(third[0], RunEnd::kDone).job_final);
 }
