--- a/packages/jobs/src/advice_selection.cc
+++ b/packages/jobs/src/advice_selection.cc
@@ -58,8 +58,8 @@
                                   const Candidate& candidate) {
   WorkerCapacity capacity = *candidate.capacity;
   if (!input.step->gang) {
-    capacity.free =
-        capacity.session->FreeBy(input.now, input.answer_due, capacity.free);
+    capacity.free = capacity.session->ExpectedFreeAt(
+        input.now, input.answer_due, capacity.free);
   }
   Candidate then = candidate;
   then.capacity = &capacity;
--- a/packages/jobs/src/gang_hold.cc
+++ b/packages/jobs/src/gang_hold.cc
@@ -18,7 +18,8 @@
   std::vector<Release> releases;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     for (const auto& [run, record] : candidates[i].capacity->session->runs) {
-      releases.push_back({std::max(now, record.expected_end), i, record.takes});
+      releases.push_back(
+          {std::max(now, record.expected_end), i, record.resources});
     }
   }
   std::stable_sort(
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -44,7 +44,7 @@
   // what runs must not lapse while the store is away.
   const bool renewal_due = now >= session.hold_sent + this->Wait();
   if (!session.unstored_ends.empty() && !renewal_due) return false;
-  const bool untold = session.noted_end > session.told_end;
+  const bool untold = session.durable_end > session.sent_acknowledged_end;
   return !session.runs.empty() || !session.fenced || untold ||
          (session.suspect && session.listed);
 }
@@ -56,10 +56,10 @@
   // which nobody has read, by the number that its former life had reached. What
   // was told is not repeated, and only a worker is told whose life has just
   // answered.
-  const bool untold = session.noted_end > session.told_end;
+  const bool untold = session.durable_end > session.sent_acknowledged_end;
   const bool verified =
       !session.suspect && now < session.verified + kTellWithin;
-  if (untold && verified) order.acknowledged_end = session.noted_end;
+  if (untold && verified) order.acknowledged_end = session.durable_end;
   // Failure: a worker is gone for good and each try to reach it puts the moment
   // off at which its lease has lapsed for certain, so that its tasks never
   // start elsewhere. A silent worker is only asked, and its lease runs out.
@@ -68,7 +68,7 @@
   }
   const bool checking =
       std::any_of(session.runs.begin(), session.runs.end(),
-                  [](const auto& run) { return run.second.stop_noted; });
+                  [](const auto& run) { return run.second.stop_acknowledged; });
   const bool wait = session.fenced && !session.suspect &&
                     !session.runs.empty() && !checking &&
                     (verified || !untold) && session.unstored_ends.empty();
@@ -136,7 +136,8 @@
                     asked + std::max(sent.wait, kConnectionClosedThreshold));
     return;
   }
-  session->told_end = std::max(session->told_end, sent.acknowledged_end);
+  session->sent_acknowledged_end =
+      std::max(session->sent_acknowledged_end, sent.acknowledged_end);
   this->OnAnswer(session, asked, result);
 }
 
@@ -150,15 +151,16 @@
                                {"end", Name(end)},
                                {"runs", session->runs.size()}});
   }
-  session->silent_holds = std::min(session->silent_holds + 1, kMaxRetryFactor);
-  session->next_hold = now + kHoldRetryDelay * session->silent_holds;
+  session->unanswered_holds =
+      std::min(session->unanswered_holds + 1, kMaxRetryFactor);
+  session->next_hold = now + kHoldRetryDelay * session->unanswered_holds;
 }
 
 void HoldLoop::OnAnswer(WorkerSession* session, Instant asked,
                         const HoldResult& result) {
   const bool back = std::exchange(session->suspect, false);
   const bool first = !std::exchange(session->fenced, true);
-  session->silent_holds = 0;
+  session->unanswered_holds = 0;
   session->verified = this->context->executor->Now();
   if (first) this->context->jobs.NoteAlive(session->Incarnation());
   if (first || back) {
@@ -197,7 +199,7 @@
     }
     if (record->percent != listed.percent) {
       record->percent = listed.percent;
-      record->moved_at = now;
+      record->last_progress_at = now;
     }
     this->context->jobs.NoteCheckpoint(listed.run, listed.checkpoint);
   }
@@ -211,10 +213,11 @@
   // Failure: its job is not known any more, nobody can tell what it takes, and
   // the worker gets more than it has room for. Until it has ended, which takes
   // the worker a fraction of a second, nothing else starts there.
-  record.takes = step == nullptr ? session->info.capacity : TaskDemand(*step);
+  record.resources =
+      step == nullptr ? session->info.capacity : TaskDemand(*step);
   record.phase = RunPhase::kStarted;
   record.started_at = this->context->executor->Now();
-  record.moved_at = record.started_at;
+  record.last_progress_at = record.started_at;
   record.expected_end = record.started_at;
   session->AddRun(listed.run, record);
   this->context->log->Write("jobs", "run-unwanted",
@@ -230,7 +233,8 @@
   const std::set<RunRef> listed = result.ListedRuns();
   std::vector<RunRef> gone;
   for (const auto& [run, record] : session->runs) {
-    const bool must_show = record.listed_from && *record.listed_from <= asked &&
+    const bool must_show = record.expected_listed_from &&
+                           *record.expected_listed_from <= asked &&
                            !record.order_in_flight;
     if (must_show && !listed.contains(run)) gone.push_back(run);
   }
@@ -242,7 +246,7 @@
 void HoldLoop::ReadEnded(WorkerSession* session, const HoldResult& result) {
   const WorkerIncarnation worker = session->Incarnation();
   auto batch = std::make_shared<EndBatch>();
-  batch->last_number = session->read_end;
+  batch->last_number = session->received_end;
   // One for this loop itself, so that it ends only once.
   batch->open_writes = 1;
   session->unstored_ends.push_back(batch);
@@ -250,8 +254,8 @@
     if (--batch->open_writes == 0) this->OnStored(worker);
   });
   for (const EndedRun& ended : result.ended) {
-    if (ended.number <= session->read_end) continue;
-    session->read_end = ended.number;
+    if (ended.number <= session->received_end) continue;
+    session->received_end = ended.number;
     this->context->jobs.NoteBegun(ended.run.task.step.job);
     batch->last_number = ended.number;
     ++batch->open_writes;
@@ -268,8 +272,8 @@
   if (session == nullptr) return;
   auto& batches = session->unstored_ends;
   while (!batches.empty() && batches.front()->open_writes == 0) {
-    session->noted_end =
-        std::max(session->noted_end, batches.front()->last_number);
+    session->durable_end =
+        std::max(session->durable_end, batches.front()->last_number);
     batches.pop_front();
   }
   if (batches.empty()) this->Pump(session);
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -67,9 +67,9 @@
   const StepRef& ref = runs.front().task.step;
   const Step& step = *this->context->jobs.FindStep(ref);
   SessionRun record;
-  record.takes = TaskDemand(step);
+  record.resources = TaskDemand(step);
   record.started_at = now;
-  record.moved_at = now;
+  record.last_progress_at = now;
   record.expected_end = now + this->context->run_times.Expect(
                                   entry.job.queue.name, step.estimate);
   const bool reserves = step.gang && this->context->QueueOf(entry).advice;
@@ -148,18 +148,18 @@
   if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
     this->context->jobs.NoteLoss(run, {.worker = worker, .certain = true});
     SessionRun former;
-    former.takes = TaskDemand(*step);
+    former.resources = TaskDemand(*step);
     former.start_sent = this->context->executor->Now();
     this->BlockStart(session, run, former);
     return;
   }
   const Instant now = this->context->executor->Now();
   SessionRun record;
-  record.takes = TaskDemand(*step);
+  record.resources = TaskDemand(*step);
   record.phase = RunPhase::kStarted;
-  record.listed_from = now;
+  record.expected_listed_from = now;
   record.started_at = now;
-  record.moved_at = now;
+  record.last_progress_at = now;
   record.expected_end = now + step->estimate;
   session->AddRun(run, record);
   this->QuarantineIfSuspicious(session, run);
@@ -224,7 +224,7 @@
   }
   record->start_sent = now;
   record->order_in_flight = true;
-  record->listed_from.reset();
+  record->expected_listed_from.reset();
   this->context->driver->Start(session->Target(), std::move(order),
                                this->guard.Wrap([this, worker, run, first, now](
                                                     const OrderResult& result) {
@@ -284,7 +284,7 @@
       result.end == OrderOutcome::kOldRun) {
     // "Old" after a lost answer: the run is, or was, there. The lists tell.
     record->phase = RunPhase::kStarted;
-    record->listed_from = this->context->executor->Now();
+    record->expected_listed_from = this->context->executor->Now();
     this->context->jobs.NoteBegun(run.task.step.job);
     TaskEntry* task = this->context->jobs.FindOpen(run);
     if (task != nullptr) task->refusals = 0;
@@ -385,7 +385,7 @@
 void RunControl::SendStop(const WorkerIncarnation& worker, const RunRef& run) {
   WorkerSession* session = this->context->workers.Find(worker);
   SessionRun* record = session == nullptr ? nullptr : session->FindRun(run);
-  if (record == nullptr || record->stop_noted) return;
+  if (record == nullptr || record->stop_acknowledged) return;
   if (!this->context->MayAct()) return;
   const Instant now = this->context->executor->Now();
   this->context->driver->Stop(
@@ -403,8 +403,8 @@
   if (record == nullptr) return;
   if (result.end == OrderOutcome::kDone ||
       result.end == OrderOutcome::kOldRun) {
-    record->stop_noted = true;
-    record->listed_from = this->context->executor->Now();
+    record->stop_acknowledged = true;
+    record->expected_listed_from = this->context->executor->Now();
     this->context->holds->Pump(session);
     return;
   }
@@ -533,13 +533,13 @@
                             const SessionRun& former) {
   const Instant now = this->context->executor->Now();
   SessionRun record;
-  record.takes = former.takes;
+  record.resources = former.resources;
   record.phase = RunPhase::kOrdered;
   record.blocked = true;
   record.stopping = true;
   record.start_sent = former.start_sent;
   record.started_at = now;
-  record.moved_at = now;
+  record.last_progress_at = now;
   record.expected_end = now;
   session->AddRun(run, record);
   this->SendStop(session->Incarnation(), run);
@@ -551,7 +551,7 @@
   record.quarantined = false;
   record.alone = false;
   record.order_in_flight = false;
-  record.listed_from = this->context->executor->Now();
+  record.expected_listed_from = this->context->executor->Now();
   record.seen_running.reset();
   session->AddRun(run, record);
   this->context->jobs.Relocate(run, session->Incarnation());
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -79,14 +79,14 @@
 
 void WorkerSession::AddRun(const RunRef& run, SessionRun record) {
   const auto [found, added] = this->runs.emplace(run, record);
-  if (added) this->used += record.takes;
+  if (added) this->used += record.resources;
 }
 
 void WorkerSession::RemoveRun(const RunRef& run) {
   const auto found = this->runs.find(run);
   if (found == this->runs.end()) return;
   this->EndQuarantine(run);
-  this->used -= found->second.takes;
+  this->used -= found->second.resources;
   this->runs.erase(found);
 }
 
@@ -131,13 +131,13 @@
   return !this->used.FitsIn(this->info.capacity);
 }
 
-Resources WorkerSession::FreeBy(Instant now, Instant moment,
-                                Resources free) const {
+Resources WorkerSession::ExpectedFreeAt(Instant now, Instant moment,
+                                        Resources free) const {
   for (const auto& [run, record] : this->runs) {
     // One that is overdue already may take any time.
     const bool ends =
         record.expected_end > now && record.expected_end <= moment;
-    if (ends) free += record.takes;
+    if (ends) free += record.resources;
   }
   return free;
 }
--- a/packages/jobs/src/worker_session.h
+++ b/packages/jobs/src/worker_session.h
@@ -32,19 +32,19 @@
 /// A run that takes room on a worker, from its placement until its end is known
 /// for certain.
 struct SessionRun {
-  Resources takes;
+  Resources resources;
   RunPhase phase = RunPhase::kPlanned;
   /// It is to be stopped.
   bool stopping = false;
   /// It has been counted as lost, and is only kept from starting late.
   bool blocked = false;
   /// The worker has acknowledged the stop.
-  bool stop_noted = false;
+  bool stop_acknowledged = false;
   /// An order about it is on its way.
   bool order_in_flight = false;
   /// From here on a hold's answer that does not list it proves that it is gone;
   /// not set while an order for it is on its way.
-  std::optional<Instant> listed_from;
+  std::optional<Instant> expected_listed_from;
   /// When an answer to a hold last listed it as running.
   std::optional<Instant> seen_running;
   /// Workers have gone down under its task, and nothing else starts beside it
@@ -67,7 +67,7 @@
   Instant expected_end;
   std::int32_t percent = 0;
   /// When `percent` last changed.
-  Instant moved_at;
+  Instant last_progress_at;
 
   /// @return how long it is known to have been at work
   [[nodiscard]] Duration Survived() const;
@@ -153,8 +153,8 @@
   [[nodiscard]] bool Overcommitted() const;
   /// @param free what is free now
   /// @return that, and what runs take that should end by `moment`
-  [[nodiscard]] Resources FreeBy(Instant now, Instant moment,
-                                 Resources free) const;
+  [[nodiscard]] Resources ExpectedFreeAt(Instant now, Instant moment,
+                                         Resources free) const;
   [[nodiscard]] bool HasLabel(const std::string& label) const;
   [[nodiscard]] WorkerTarget Target() const;
 
@@ -185,11 +185,11 @@
   std::map<RunRef, SessionRun> runs;
 
   /// Ends up to this number are dealt with for good; the next hold says so.
-  std::int64_t noted_end = 0;
+  std::int64_t durable_end = 0;
   /// The highest number that a hold has told the worker.
-  std::int64_t told_end = 0;
+  std::int64_t sent_acknowledged_end = 0;
   /// Ends up to this number have been taken in.
-  std::int64_t read_end = 0;
+  std::int64_t received_end = 0;
   /// Ends that were taken in and wait for writes, oldest first.
   std::deque<std::shared_ptr<EndBatch>> unstored_ends;
   /// When this life last answered a hold.
@@ -197,7 +197,7 @@
   bool hold_in_flight = false;
   Instant hold_sent;
   Instant next_hold;
-  std::int32_t silent_holds = 0;
+  std::int32_t unanswered_holds = 0;
 
  private:
   SessionNumber number;
--- a/packages/jobs/tests/advice_selection_test.cc
+++ b/packages/jobs/tests/advice_selection_test.cc
@@ -151,7 +151,7 @@
 BOOST_AUTO_TEST_CASE(capacity_expected_to_be_free_counts) {
   const SessionNumber busy = Add(0);
   SessionRun record;
-  record.takes = {2000, 0, 0, 0};
+  record.resources = {2000, 0, 0, 0};
   record.expected_end = kNow + milliseconds(300);
   sessions[busy]->AddRun({{{JobId("j"), 0, 0}, 0}, 1}, record);
   BOOST_TEST(Choose(2, false).size() == 1U);
--- a/packages/jobs/tests/placement_test.cc
+++ b/packages/jobs/tests/placement_test.cc
@@ -53,7 +53,7 @@
   /// Adds a running task that is expected to end at `end`.
   void Run(std::size_t worker, std::int64_t cpu, Instant end) {
     SessionRun record;
-    record.takes = {cpu, 0, 0, 0};
+    record.resources = {cpu, 0, 0, 0};
     record.expected_end = end;
     const RunRef run{{{JobId("j"), 0, 0}, this->next++}, 1};
     this->sessions[worker]->AddRun(run, record);
--- a/packages/jobs/tests/worker_session_test.cc
+++ b/packages/jobs/tests/worker_session_test.cc
@@ -62,7 +62,7 @@
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   const RunRef run{{{JobId("j"), 0, 0}, 0}, 1};
   SessionRun record;
-  record.takes = {6000, 1000, 0, 0};
+  record.resources = {6000, 1000, 0, 0};
   session.AddRun(run, record);
   session.AddRun(run, record);
   BOOST_TEST(session.Free().cpu_milli == 10'000);
