--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -297,7 +297,7 @@
   session->info.incarnation = incarnation;
   session->listed = true;
   if (session->Overcommitted()) this->runs->WithdrawPlanned(session);
-  if (this->loaded) this->holds->Pump(session);
+  if (this->loaded) this->holds->SendIfDue(session);
   this->dispatcher->SchedulePass();
 }
 
@@ -332,7 +332,7 @@
                             {"took_ms", WholeMilliseconds(took)}});
   this->context.metrics->Sample("takeover_read_us", "",
                                 static_cast<double>(took.count()));
-  this->holds->PumpAll();
+  this->holds->SendAllDue();
   this->dispatcher->SchedulePass();
   this->ended->Read();
 }
@@ -408,7 +408,7 @@
 void GroupOwner::Tick() {
   if (this->loaded) {
     this->OpenDueOccurrences();
-    this->holds->PumpAll();
+    this->holds->SendAllDue();
     this->reservations->CheckAll();
     this->ended->ForgetOld();
     this->stored->ForgetUnclaimed();
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -19,7 +19,7 @@
 constexpr std::int32_t kMaxRetryFactor = 4;
 /// How long after a life has answered it is told of ends: less than a worker
 /// takes to start again.
-constexpr Duration kTellWithin = milliseconds(250);
+constexpr Duration kAcknowledgeWindow = milliseconds(250);
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   return std::clamp(wait, kHoldWait, kMaxHoldWait);
 }
 
-bool HoldLoop::Due(const WorkerSession& session) const {
+bool HoldLoop::IsDue(const WorkerSession& session) const {
   if (session.hold_in_flight || session.gone) return false;
   if (session.info.address.empty()) return false;
   // An entry of a service that operators don't name is no worker of theirs.
@@ -58,7 +58,7 @@
   // answered.
   const bool untold = session.durable_end > session.sent_acknowledged_end;
   const bool verified =
-      !session.suspect && now < session.verified + kTellWithin;
+      !session.suspect && now < session.verified + kAcknowledgeWindow;
   if (untold && verified) order.acknowledged_end = session.durable_end;
   // Failure: a worker is gone for good and each try to reach it puts the moment
   // off at which its lease has lapsed for certain, so that its tasks never
@@ -79,8 +79,8 @@
   return order;
 }
 
-void HoldLoop::Pump(WorkerSession* session) {
-  if (!this->Due(*session)) return;
+void HoldLoop::SendIfDue(WorkerSession* session) {
+  if (!this->IsDue(*session)) return;
   if (!this->context->MayAct()) return;
   const Instant now = this->context->executor->Now();
   HoldOrder order = this->MakeOrder(*session, now);
@@ -95,18 +95,19 @@
       }));
 }
 
-void HoldLoop::PumpAll() {
+void HoldLoop::SendAllDue() {
   const Instant now = this->context->executor->Now();
   std::vector<WorkerId> finished;
   for (const auto& [id, session] : this->context->workers) {
     // A run whose start was never sent has no lease that could lapse.
     if (now >= session->LapsesAt()) {
       if (session->HasOrdered()) {
-        this->context->runs->LoseAll(session.get(), LossCause::kLeaseLapsed);
+        this->context->runs->HandleWorkerLoss(session.get(),
+                                              LossCause::kLeaseLapsed);
       }
       if (session->suspect) this->context->runs->ReleaseBlocked(session.get());
     }
-    this->Pump(session.get());
+    this->SendIfDue(session.get());
     const bool over = !session->listed || session->gone;
     if (over && session->runs.empty()) finished.push_back(id);
   }
@@ -128,12 +129,12 @@
   if (session == nullptr) return;
   if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
     // The hold carried the token of the former life.
-    this->Pump(session);
+    this->SendIfDue(session);
     return;
   }
   if (result.order.end != OrderOutcome::kDone) {
-    this->OnSilence(session, result.order.end,
-                    asked + std::max(sent.wait, kConnectionClosedThreshold));
+    this->OnHoldFailed(session, result.order.end,
+                       asked + std::max(sent.wait, kConnectionClosedThreshold));
     return;
   }
   session->sent_acknowledged_end =
@@ -141,8 +142,8 @@
   this->OnAnswer(session, asked, result);
 }
 
-void HoldLoop::OnSilence(WorkerSession* session, OrderOutcome end,
-                         Instant broken_before) {
+void HoldLoop::OnHoldFailed(WorkerSession* session, OrderOutcome end,
+                            Instant broken_before) {
   const Instant now = this->context->executor->Now();
   const bool exact = end == OrderOutcome::kUncertain && now < broken_before;
   if (session->MarkSilent(now, exact)) {
@@ -173,7 +174,7 @@
     this->context->dispatcher->SchedulePass();
   }
   this->ReadRunning(session, result);
-  this->DropUnlisted(session, asked, result);
+  this->EndUnlistedRuns(session, asked, result);
   this->ReadEnded(session, result);
 }
 
@@ -183,7 +184,7 @@
     this->context->jobs.NoteBegun(listed.run.task.step.job);
     SessionRun* record = session->FindRun(listed.run);
     if (record == nullptr) {
-      this->Adopt(session, listed);
+      this->StopUnwantedRun(session, listed);
       continue;
     }
     record->seen_running = now;
@@ -205,7 +206,8 @@
   }
 }
 
-void HoldLoop::Adopt(WorkerSession* session, const RunningRun& listed) {
+void HoldLoop::StopUnwantedRun(WorkerSession* session,
+                               const RunningRun& listed) {
   const Step* step = this->context->jobs.FindStep(listed.run.task.step);
   // It is none of the runs that are wanted: its job is over, or it was given up
   // on. It takes room until it has ended.
@@ -227,8 +229,8 @@
   this->context->runs->Stop(session, listed.run);
 }
 
-void HoldLoop::DropUnlisted(WorkerSession* session, Instant asked,
-                            const HoldResult& result) {
+void HoldLoop::EndUnlistedRuns(WorkerSession* session, Instant asked,
+                               const HoldResult& result) {
   if (result.more_ended) return;
   const std::set<RunRef> listed = result.ListedRuns();
   std::vector<RunRef> gone;
@@ -276,7 +278,7 @@
         std::max(session->durable_end, batches.front()->last_number);
     batches.pop_front();
   }
-  if (batches.empty()) this->Pump(session);
+  if (batches.empty()) this->SendIfDue(session);
 }
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/hold_loop.h
+++ b/packages/jobs/src/hold_loop.h
@@ -18,12 +18,12 @@
   explicit HoldLoop(OwnerContext* context);
 
   /// Sends a hold if one is due.
-  void Pump(WorkerSession* session);
+  void SendIfDue(WorkerSession* session);
   /// Sends all that are due, and gives up workers whose lease has lapsed.
-  void PumpAll();
+  void SendAllDue();
 
  private:
-  bool Due(const WorkerSession& session) const;
+  bool IsDue(const WorkerSession& session) const;
   /// @return how long a hold waits at its worker, given how many workers there
   ///   are
   [[nodiscard]] Duration Wait() const;
@@ -33,13 +33,13 @@
   void OnAnswer(WorkerSession* session, Instant asked,
                 const HoldResult& result);
   /// @param broken_before a call that ended earlier was not timed out
-  void OnSilence(WorkerSession* session, OrderOutcome end,
-                 Instant broken_before);
+  void OnHoldFailed(WorkerSession* session, OrderOutcome end,
+                    Instant broken_before);
   void ReadRunning(WorkerSession* session, const HoldResult& result);
   void ReadEnded(WorkerSession* session, const HoldResult& result);
-  void DropUnlisted(WorkerSession* session, Instant asked,
-                    const HoldResult& result);
-  void Adopt(WorkerSession* session, const RunningRun& listed);
+  void EndUnlistedRuns(WorkerSession* session, Instant asked,
+                       const HoldResult& result);
+  void StopUnwantedRun(WorkerSession* session, const RunningRun& listed);
   void OnStored(const WorkerIncarnation& worker);
 
   OwnerContext* context;
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -123,7 +123,7 @@
     moved.emplace_back(run, *record);
     former->RemoveRun(run);
   }
-  this->context->runs->LoseAll(former, LossCause::kRestarted);
+  this->context->runs->HandleWorkerLoss(former, LossCause::kRestarted);
   const std::map<RunRef, SessionRun> left = former->runs;
   const bool listed = former->listed;
   this->context->health.Remove(info.incarnation.id);
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -17,14 +17,14 @@
 namespace {
 
 /// Bounds the pause after starts that were turned down.
-constexpr std::int32_t kMostDoublings = 5;
+constexpr std::int32_t kMaxBackoffDoublings = 5;
 /// The least time from a worker's crash to its next life: what was sent later
 /// never reached the life that crashed.
-constexpr Duration kLeastRestart = milliseconds(500);
+constexpr Duration kMinRestartTime = milliseconds(500);
 
 /// A worker that has answered so shortly before was there: longer than a hold
 /// waits.
-constexpr Duration kRecentAnswer = milliseconds(2000);
+constexpr Duration kRecentAnswerWindow = milliseconds(2000);
 
 /// @return true if the answer proves that this order started nothing
 bool ProvesNotStarted(OrderOutcome end) {
@@ -80,7 +80,7 @@
     if (reserves) continue;
     this->QuarantineIfSuspicious(session, runs[i]);
     // An idle worker is not asked otherwise, and may be gone already.
-    if (session->Quarantined()) this->context->holds->Pump(session);
+    if (session->Quarantined()) this->context->holds->SendIfDue(session);
   }
   this->context->log->Write(
       "jobs", "step-placed",
@@ -193,8 +193,8 @@
   // Failure: the store is away while a run is written down, the worker shrinks
   // or drains meanwhile, and the start leaves before that is known.
   if (first && !this->context->worker_view_fresh()) {
-    this->Later(kOrderRetryDelay,
-                [this, worker, run] { this->SendStart(worker, run); });
+    this->RunAfter(kOrderRetryDelay,
+                   [this, worker, run] { this->SendStart(worker, run); });
     return;
   }
   StartOrder order;
@@ -204,7 +204,7 @@
   const bool fits = !overcommitted && !(first && draining);
   if (!this->FillOrder(*session, run, &order) || !fits) {
     if (first) {
-      this->NotStarted(session, run);
+      this->WithdrawUnstarted(session, run);
     } else {
       this->Stop(session, run);
       this->StopGang(run);
@@ -239,7 +239,7 @@
       this->context->incarnations->NoteAnswer(worker, asked, result, lists);
   if (session == nullptr) return nullptr;
   if (result.end == OrderOutcome::kOtherIncarnation) {
-    this->LoseAll(session, LossCause::kOtherIncarnation);
+    this->HandleWorkerLoss(session, LossCause::kOtherIncarnation);
     return nullptr;
   }
   session->NoteClock({.clock_ms = result.clock_ms,
@@ -278,7 +278,7 @@
   if (result.end == OrderOutcome::kRefused ||
       result.end == OrderOutcome::kUncertain) {
     session->MarkSilent(this->context->executor->Now(), broke);
-    this->context->holds->Pump(session);
+    this->context->holds->SendIfDue(session);
   }
   if (result.end == OrderOutcome::kDone ||
       result.end == OrderOutcome::kOldRun) {
@@ -288,7 +288,7 @@
     this->context->jobs.NoteBegun(run.task.step.job);
     TaskEntry* task = this->context->jobs.FindOpen(run);
     if (task != nullptr) task->refusals = 0;
-    this->context->holds->Pump(session);
+    this->context->holds->SendIfDue(session);
   } else if (first && ProvesNotStarted(result.end)) {
     this->OnRefused(session, run, result.end);
   } else if (ProvesNotStarted(result.end)) {
@@ -297,20 +297,21 @@
     this->Stop(session, run);
     this->StopGang(run);
   } else if (!record->stopping) {
-    this->Later(kOrderRetryDelay,
-                [this, worker, run] { this->SendStart(worker, run); });
+    this->RunAfter(kOrderRetryDelay,
+                   [this, worker, run] { this->SendStart(worker, run); });
   }
 }
 
 void RunControl::OnRefused(WorkerSession* session, const RunRef& run,
                            OrderOutcome why) {
   TaskEntry* task = this->context->jobs.FindOpen(run);
-  this->NotStarted(session, run);
+  this->WithdrawUnstarted(session, run);
   const Instant now = this->context->executor->Now();
   if (task != nullptr) {
     // Failure: every worker turns the start down, and it is sent again as fast
     // as they answer.
-    const std::int32_t doublings = std::min(task->refusals++, kMostDoublings);
+    const std::int32_t doublings =
+        std::min(task->refusals++, kMaxBackoffDoublings);
     task->not_before = now + kTaskRetryDelay * (1 << doublings);
   }
   if (why == OrderOutcome::kRefused) {
@@ -320,7 +321,7 @@
   }
 }
 
-void RunControl::NotStarted(WorkerSession* session, const RunRef& run) {
+void RunControl::WithdrawUnstarted(WorkerSession* session, const RunRef& run) {
   session->RemoveRun(run);
   TaskEntry* task = this->context->jobs.FindOpen(run);
   if (task != nullptr) {
@@ -365,7 +366,7 @@
   for (const RunRef& run : planned) {
     if (!session->Overcommitted()) return;
     if (session->FindRun(run) == nullptr) continue;
-    this->NotStarted(session, run);
+    this->WithdrawUnstarted(session, run);
   }
 }
 
@@ -405,20 +406,20 @@
       result.end == OrderOutcome::kOldRun) {
     record->stop_acknowledged = true;
     record->expected_listed_from = this->context->executor->Now();
-    this->context->holds->Pump(session);
+    this->context->holds->SendIfDue(session);
     return;
   }
   session->MarkSilent(this->context->executor->Now(), false);
-  this->context->holds->Pump(session);
-  this->Later(kOrderRetryDelay,
-              [this, worker, run] { this->SendStop(worker, run); });
+  this->context->holds->SendIfDue(session);
+  this->RunAfter(kOrderRetryDelay,
+                 [this, worker, run] { this->SendStop(worker, run); });
 }
 
 bool RunControl::End(WorkerSession* session, const RunRef& run, RunEnd end,
                      std::string_view checkpoint,
                      std::function<void()> durable) {
   const bool waits =
-      this->TakeEnd(session, run, end, checkpoint, std::move(durable));
+      this->ApplyRunEnd(session, run, end, checkpoint, std::move(durable));
   const CrashHistory* crashes = this->context->jobs.FindCrashes(run.task);
   const bool last_start =
       crashes != nullptr && crashes->AtLimit(this->MaxLostWorkers());
@@ -426,9 +427,9 @@
   return waits;
 }
 
-bool RunControl::TakeEnd(WorkerSession* session, const RunRef& run, RunEnd end,
-                         std::string_view checkpoint,
-                         std::function<void()> durable) {
+bool RunControl::ApplyRunEnd(WorkerSession* session, const RunRef& run,
+                             RunEnd end, std::string_view checkpoint,
+                             std::function<void()> durable) {
   const Instant now = this->context->executor->Now();
   const SessionRun* record = session->FindRun(run);
   if (record != nullptr) this->NoteOutcome(*session, *record, run, end);
@@ -497,7 +498,7 @@
   }));
 }
 
-void RunControl::LoseAll(WorkerSession* session, LossCause cause) {
+void RunControl::HandleWorkerLoss(WorkerSession* session, LossCause cause) {
   this->context->log->Write("workers", "worker-lost",
                             {{"worker", Text(session->Incarnation())},
                              {"runs", session->runs.size()},
@@ -519,7 +520,7 @@
   this->Discount(outage);
   for (const RunRef& run : lost) {
     if (this->BlockIfMayStart(session, run, cause)) continue;
-    this->TakeEnd(session, run, RunEnd::kLapsed, "", {});
+    this->ApplyRunEnd(session, run, RunEnd::kLapsed, "", {});
   }
   for (const RunRef& run : lost) this->GiveUpIfUnsafe(run.task);
   if (cause == LossCause::kLeaseLapsed) return;
@@ -557,14 +558,14 @@
   this->context->jobs.Relocate(run, session->Incarnation());
   if (record.stopping) {
     this->SendStop(session->Incarnation(), run);
-  } else if (!this->IsWhole(run)) {
+  } else if (!this->IsGangRunIntact(run)) {
     this->StopGang(run);
   } else {
     this->QuarantineIfSuspicious(session, run);
   }
 }
 
-bool RunControl::IsWhole(const RunRef& member) {
+bool RunControl::IsGangRunIntact(const RunRef& member) {
   const Step* step = this->context->jobs.FindStep(member.task.step);
   if (step == nullptr || !step->gang) return true;
   for (std::int32_t i = 0; i < step->tasks; ++i) {
@@ -616,13 +617,13 @@
   if (record.blocked) return;
   const Instant now = this->context->executor->Now();
   const bool certain = cause != LossCause::kLeaseLapsed;
-  const bool came_too_late =
-      certain && record.ordered_at && now - *record.ordered_at < kLeastRestart;
-  if (came_too_late) return;
+  const bool ordered_after_crash = certain && record.ordered_at &&
+                                   now - *record.ordered_at < kMinRestartTime;
+  if (ordered_after_crash) return;
   // Of a worker that was silent before it is not known that the start arrived.
   const bool was_there =
       record.ordered_at &&
-      session.LastAnswer() + kRecentAnswer >= *record.ordered_at;
+      session.LastAnswer() + kRecentAnswerWindow >= *record.ordered_at;
   this->context->jobs.NoteLoss(
       run, {.worker = session.Incarnation(),
             .certain = certain,
@@ -709,7 +710,7 @@
        {"ordered_ms_ago", WholeMilliseconds(age)}});
 }
 
-void RunControl::Later(Duration delay, std::function<void()> task) {
+void RunControl::RunAfter(Duration delay, std::function<void()> task) {
   this->context->executor->After(delay, this->guard.Wrap(std::move(task)));
 }
 
--- a/packages/jobs/src/run_control.h
+++ b/packages/jobs/src/run_control.h
@@ -54,7 +54,7 @@
   /// All that ran there has ended for certain. Of a worker that has started
   /// again, runs whose starts may yet arrive at its next life are left; see
   /// BlockStart.
-  void LoseAll(WorkerSession* session, LossCause cause);
+  void HandleWorkerLoss(WorkerSession* session, LossCause cause);
   /// Keeps a start that was meant for a former life from being carried out. Its
   /// task starts elsewhere only once the worker has acknowledged that.
   void BlockStart(WorkerSession* session, const RunRef& run,
@@ -87,7 +87,7 @@
   /// A worker has turned the start down.
   void OnRefused(WorkerSession* session, const RunRef& run, OrderOutcome why);
   /// Takes a run back that was not started anywhere.
-  void NotStarted(WorkerSession* session, const RunRef& run);
+  void WithdrawUnstarted(WorkerSession* session, const RunRef& run);
   void SendStop(const WorkerIncarnation& worker, const RunRef& run);
   void OnStop(const WorkerIncarnation& worker, const RunRef& run, Instant asked,
               const OrderResult& result);
@@ -113,14 +113,14 @@
   /// Fails the job of a task that takes its workers down.
   void GiveUp(const TaskRef& task);
   /// See End; gives nothing up.
-  bool TakeEnd(WorkerSession* session, const RunRef& run, RunEnd end,
-               std::string_view checkpoint, std::function<void()> durable);
+  bool ApplyRunEnd(WorkerSession* session, const RunRef& run, RunEnd end,
+                   std::string_view checkpoint, std::function<void()> durable);
   /// Tells what was known of a run whose worker is lost.
   void LogLostRun(const WorkerSession& session, const RunRef& run,
                   const SessionRun& record, LossCause cause);
   /// @return false if another member of the gang's run has ended
-  [[nodiscard]] bool IsWhole(const RunRef& member);
-  void Later(Duration delay, std::function<void()> task);
+  [[nodiscard]] bool IsGangRunIntact(const RunRef& member);
+  void RunAfter(Duration delay, std::function<void()> task);
 
   OwnerContext* context;
   CallbackGuard guard;
--- a/testing/job_sim/src/sim_cell.cc
+++ b/testing/job_sim/src/sim_cell.cc
@@ -26,7 +26,7 @@
 /// What a draining worker says is left.
 constexpr Duration kDrainTime = seconds(2);
 /// How long a worker that a task took down is away.
-constexpr Duration kLeastRestart = seconds(1);
+constexpr Duration kMinRestartTime = seconds(1);
 constexpr Duration kMostRestart = seconds(5);
 constexpr Duration kLeastWait = milliseconds(200);
 constexpr Duration kHeartbeat = milliseconds(1500);
@@ -304,7 +304,7 @@
       schema(std::make_unique<Schema>(this)) {
   this->workers.crash = [this](SimWorker* worker) {
     this->CrashWorker(worker,
-                      this->time.DrawBetween(kLeastRestart, kMostRestart));
+                      this->time.DrawBetween(kMinRestartTime, kMostRestart));
   };
 }
 
