--- a/packages/jobs/src/crash_history.cc
+++ b/packages/jobs/src/crash_history.cc
@@ -9,11 +9,11 @@
 namespace {
 
 /// No task is given up for fewer.
-constexpr std::size_t kLeastLosses = 2;
+constexpr std::size_t kMinLosses = 2;
 /// Beyond the time that earlier runs survived.
-constexpr Duration kProvingMargin = milliseconds(200);
+constexpr Duration kProbationMargin = milliseconds(200);
 /// Bounds how long a worker is kept for one task.
-constexpr Duration kLongestProvingTime = seconds(5);
+constexpr Duration kMaxProbationPeriod = seconds(5);
 
 }  // namespace
 
@@ -80,14 +80,14 @@
   return counted.size() > 1 || counted.front().at_start;
 }
 
-Duration CrashHistory::ProvingTime() const {
+Duration CrashHistory::ProbationPeriod() const {
   // The next loss decides: nothing else may be to blame for it.
-  if (this->losses.size() > 1) return kLongestProvingTime;
+  if (this->losses.size() > 1) return kMaxProbationPeriod;
   Duration longest{0};
   for (const WorkerLoss& loss : this->losses) {
     longest = std::max(longest, loss.survived);
   }
-  return std::min(longest + kProvingMargin, kLongestProvingTime);
+  return std::min(longest + kProbationMargin, kMaxProbationPeriod);
 }
 
 bool CrashHistory::Unsafe(std::size_t max_losses) const {
@@ -95,7 +95,7 @@
   if (counted.size() > max_losses) return true;
   if (counted.empty() || !counted.back().alone) return false;
   const std::size_t enough =
-      AllAtStart(counted) ? std::max(max_losses - 1, kLeastLosses) : max_losses;
+      AllAtStart(counted) ? std::max(max_losses - 1, kMinLosses) : max_losses;
   const auto certain =
       std::count_if(counted.begin(), counted.end(),
                     [](const WorkerLoss& loss) { return loss.certain; });
--- a/packages/jobs/src/crash_history.h
+++ b/packages/jobs/src/crash_history.h
@@ -57,7 +57,7 @@
   /// @return true if the next run is to be kept apart from other tasks
   [[nodiscard]] bool Suspicious() const;
   /// @return how long a run has to be at work to be no longer suspicious
-  [[nodiscard]] Duration ProvingTime() const;
+  [[nodiscard]] Duration ProbationPeriod() const;
   /// @param max_losses workers that may be lost under the task; one more if
   ///   another task may have been the cause, one fewer if each went at its
   ///   start
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -188,7 +188,7 @@
       continue;
     }
     record->seen_running = now;
-    if (record->quarantined && record->Survived() >= record->proving_time) {
+    if (record->quarantined && record->Survived() >= record->probation_period) {
       session->EndQuarantine(listed.run);
       this->context->log->Write(
           "jobs", "quarantine-ended",
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -243,7 +243,8 @@
   std::size_t discounted = 0;
   if (outage.workers.empty()) return discounted;
   for (JobEntry* entry : this->active) {
-    if (entry->crashes.empty() || !outage.Exceeds(entry->job.id)) continue;
+    if (entry->crashes.empty() || !outage.RulesOutAsCause(entry->job.id))
+      continue;
     for (auto& [task, history] : entry->crashes) {
       if (history.Discount(outage.workers)) ++discounted;
     }
--- a/packages/jobs/src/options.h
+++ b/packages/jobs/src/options.h
@@ -16,8 +16,8 @@
 inline constexpr Duration kStoreLeaseRenewal = milliseconds(300);
 /// If the store has confirmed no renewal that was sent within this time, it
 /// counts as silent, and no write whose outcome would stay uncertain is sent to
-/// it. Exceeds the sum of the renewal interval and the slowest answer of a
-/// working store (0.4 s).
+/// it. RulesOutAsCause the sum of the renewal interval and the slowest answer
+/// of a working store (0.4 s).
 inline constexpr Duration kStoreSilenceTimeout = milliseconds(900);
 
 /// Lease that each order grants to everything that runs on a worker. Long
--- a/packages/jobs/src/outage_detector.cc
+++ b/packages/jobs/src/outage_detector.cc
@@ -16,13 +16,13 @@
 constexpr Duration kExactSpread = milliseconds(60);
 /// Longer than the time from a worker's silence to its loss, and that of the
 /// others that went with it.
-constexpr Duration kMemory = seconds(30);
+constexpr Duration kLossRetention = seconds(30);
 /// One of so many workers, and so many at least, go down in an outage: more
 /// than tasks that are each started once take down at a moment.
 constexpr std::size_t kWorkersPerOutage = 6;
-constexpr std::size_t kLeastWorkers = 8;
+constexpr std::size_t kMinOutageWorkers = 8;
 
-bool Together(const DownWorker& a, const DownWorker& b) {
+bool WentDownTogether(const DownWorker& a, const DownWorker& b) {
   const Duration spread = a.exact && b.exact ? kExactSpread : kSpread;
   return a.since >= b.since - spread && a.since <= b.since + spread;
 }
@@ -30,36 +30,38 @@
 void Add(const DownWorker& down, Outage* outage) {
   if (!outage->workers.insert(down.worker).second || down.quarantined) return;
   ++outage->unexplained;
-  for (const JobId& job : down.jobs) ++outage->hosts_of[job];
+  for (const JobId& job : down.jobs) ++outage->workers_by_job[job];
 }
 
 }  // namespace
 
-bool Outage::Exceeds(const JobId& job) const {
-  const auto found = this->hosts_of.find(job);
-  const std::size_t own = found == this->hosts_of.end() ? 0 : found->second;
-  return this->unexplained - own >= this->least;
+bool Outage::RulesOutAsCause(const JobId& job) const {
+  const auto found = this->workers_by_job.find(job);
+  const std::size_t own =
+      found == this->workers_by_job.end() ? 0 : found->second;
+  return this->unexplained - own >= this->min_unrelated_workers;
 }
 
 void OutageDetector::Note(DownWorker down) {
-  const Instant old = down.since - kMemory;
+  const Instant old = down.since - kLossRetention;
   while (!this->lost.empty() && this->lost.front().since < old) {
     this->lost.pop_front();
   }
   this->lost.push_back(std::move(down));
 }
 
-Outage OutageDetector::With(const DownWorker& down,
-                            std::span<const DownWorker> silent,
-                            std::size_t workers) const {
+Outage OutageDetector::FindOutage(const DownWorker& down,
+                                  std::span<const DownWorker> silent,
+                                  std::size_t workers) const {
   Outage outage;
-  outage.least = std::max(workers / kWorkersPerOutage, kLeastWorkers);
+  outage.min_unrelated_workers =
+      std::max(workers / kWorkersPerOutage, kMinOutageWorkers);
   Add(down, &outage);
   for (const DownWorker& one : this->lost) {
-    if (Together(one, down)) Add(one, &outage);
+    if (WentDownTogether(one, down)) Add(one, &outage);
   }
   for (const DownWorker& one : silent) {
-    if (Together(one, down)) Add(one, &outage);
+    if (WentDownTogether(one, down)) Add(one, &outage);
   }
   return outage;
 }
--- a/packages/jobs/src/outage_detector.h
+++ b/packages/jobs/src/outage_detector.h
@@ -32,12 +32,12 @@
   /// How many of them no suspicious task explains …
   std::size_t unexplained = 0;
   /// … and on how many of those each job had runs.
-  std::unordered_map<JobId, std::size_t> hosts_of;
+  std::unordered_map<JobId, std::size_t> workers_by_job;
   /// So many besides those of a job tell that the job was not the cause.
-  std::size_t least = 0;
+  std::size_t min_unrelated_workers = 0;
 
   /// @return true if more workers went down than the job can have taken down
-  [[nodiscard]] bool Exceeds(const JobId& job) const;
+  [[nodiscard]] bool RulesOutAsCause(const JobId& job) const;
 };
 
 /// Tells workers that went down together from those that went one by one. A
@@ -50,9 +50,9 @@
   /// @param silent workers that do not answer and are not lost yet
   /// @param workers how many there are
   /// @return all that went down with a worker, and itself
-  [[nodiscard]] Outage With(const DownWorker& down,
-                            std::span<const DownWorker> silent,
-                            std::size_t workers) const;
+  [[nodiscard]] Outage FindOutage(const DownWorker& down,
+                                  std::span<const DownWorker> silent,
+                                  std::size_t workers) const;
 
  private:
   /// In the order in which they were lost.
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -119,14 +119,14 @@
                                         const RunRef& run) {
   const CrashHistory* crashes = this->context->jobs.FindCrashes(run.task);
   if (crashes == nullptr || !crashes->Suspicious()) return;
-  session->Quarantine(run, crashes->ProvingTime());
+  session->Quarantine(run, crashes->ProbationPeriod());
   this->context->log->Write(
       "jobs", "quarantined",
       {{"task", Text(run.task)},
        {"run", run.run},
        {"worker", Text(session->Incarnation())},
        {"lost_workers", crashes->Losses().size()},
-       {"proving_ms", WholeMilliseconds(crashes->ProvingTime())}});
+       {"proving_ms", WholeMilliseconds(crashes->ProbationPeriod())}});
 }
 
 void RunControl::StartOnceStored(const JobId& job,
@@ -656,8 +656,8 @@
   if (!went_down(lost)) return {};
   const DownWorker down = describe(lost);
   this->context->outages.Note(down);
-  return this->context->outages.With(down, silent,
-                                     this->context->workers.Size());
+  return this->context->outages.FindOutage(down, silent,
+                                           this->context->workers.Size());
 }
 
 void RunControl::Discount(const Outage& outage) {
@@ -667,7 +667,7 @@
                             {{"tasks", discounted},
                              {"workers", outage.workers.size()},
                              {"unexplained", outage.unexplained},
-                             {"least", outage.least}});
+                             {"least", outage.min_unrelated_workers}});
 }
 
 void RunControl::GiveUpIfUnsafe(const TaskRef& task) {
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -90,10 +90,10 @@
   this->runs.erase(found);
 }
 
-void WorkerSession::Quarantine(const RunRef& run, Duration proving_time) {
+void WorkerSession::Quarantine(const RunRef& run, Duration probation_period) {
   SessionRun* record = this->FindRun(run);
   if (record == nullptr) return;
-  record->proving_time = proving_time;
+  record->probation_period = probation_period;
   // The run itself is one.
   record->alone = this->CountUnproven() == 1;
   if (!std::exchange(record->quarantined, true)) ++this->quarantined;
--- a/packages/jobs/src/worker_session.h
+++ b/packages/jobs/src/worker_session.h
@@ -48,9 +48,9 @@
   /// When an answer to a hold last listed it as running.
   std::optional<Instant> seen_running;
   /// Workers have gone down under its task, and nothing else starts beside it
-  /// until it has been at work for `proving_time`.
+  /// until it has been at work for `probation_period`.
   bool quarantined = false;
-  Duration proving_time{0};
+  Duration probation_period{0};
   /// All else on the worker was proven when it was quarantined.
   bool alone = false;
   Instant started_at;
@@ -143,7 +143,7 @@
   ///   worker down
   [[nodiscard]] std::size_t CountUnproven() const;
   /// Keeps other tasks away until the run has been at work for this long.
-  void Quarantine(const RunRef& run, Duration proving_time);
+  void Quarantine(const RunRef& run, Duration probation_period);
   /// Lets other tasks start beside it again.
   void EndQuarantine(const RunRef& run);
   /// @return true while the worker is kept for a suspicious task
--- a/packages/jobs/tests/crash_history_test.cc
+++ b/packages/jobs/tests/crash_history_test.cc
@@ -44,10 +44,10 @@
 BOOST_AUTO_TEST_CASE(a_run_is_proven_once_it_outlives_the_former) {
   CrashHistory history;
   history.Note(Loss("a", milliseconds(300)));
-  BOOST_TEST((history.ProvingTime() > milliseconds(300)));
-  BOOST_TEST((history.ProvingTime() < seconds(1)));
+  BOOST_TEST((history.ProbationPeriod() > milliseconds(300)));
+  BOOST_TEST((history.ProbationPeriod() < seconds(1)));
   history.Note(Loss("b", milliseconds(300)));
-  BOOST_TEST((history.ProvingTime() >= seconds(5)));
+  BOOST_TEST((history.ProbationPeriod() >= seconds(5)));
 }
 
 BOOST_AUTO_TEST_CASE(the_third_loss_gives_up_only_a_task_that_was_alone) {
--- a/packages/jobs/tests/outage_detector_test.cc
+++ b/packages/jobs/tests/outage_detector_test.cc
@@ -34,7 +34,7 @@
     }
   }
   Outage With(const DownWorker& down) {
-    return this->detector.With(down, {}, kWorkers);
+    return this->detector.FindOutage(down, {}, kWorkers);
   }
 
   OutageDetector detector;
@@ -47,14 +47,14 @@
 BOOST_AUTO_TEST_CASE(workers_that_go_one_by_one_are_no_outage) {
   for (int i = 0; i < 20; ++i) Note(i, i, kNow + milliseconds(400) * i);
   const Outage outage = With(Down(30, kNow + seconds(2), JobId("j")));
-  BOOST_TEST(!outage.Exceeds(JobId("j")));
+  BOOST_TEST(!outage.RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_CASE(many_workers_at_one_moment_exceed_a_job) {
   Note(0, 7, kNow);
   const Outage outage = With(Down(30, kNow + milliseconds(20), JobId("j")));
   BOOST_TEST(outage.unexplained == 9U);
-  BOOST_TEST(outage.Exceeds(JobId("j")));
+  BOOST_TEST(outage.RulesOutAsCause(JobId("j")));
 }
 
 // Guards against a wide job whose tasks take all their workers down at once.
@@ -62,8 +62,8 @@
   const JobId wide("wide");
   for (int i = 0; i < 20; ++i) detector.Note(Down(i, kNow, wide));
   const Outage outage = With(Down(30, kNow, wide));
-  BOOST_TEST(!outage.Exceeds(wide));
-  BOOST_TEST(outage.Exceeds(JobId("beside")));
+  BOOST_TEST(!outage.RulesOutAsCause(wide));
+  BOOST_TEST(outage.RulesOutAsCause(JobId("beside")));
 }
 
 // Guards against trials that discount each other.
@@ -73,15 +73,15 @@
     down.quarantined = true;
     detector.Note(down);
   }
-  BOOST_TEST(!With(Down(30, kNow, JobId("j"))).Exceeds(JobId("j")));
+  BOOST_TEST(!With(Down(30, kNow, JobId("j"))).RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_CASE(a_moment_that_is_not_known_is_taken_widely) {
   Note(0, 7, kNow);
   DownWorker late = Down(30, kNow + milliseconds(400), JobId("j"));
-  BOOST_TEST(!With(late).Exceeds(JobId("j")));
+  BOOST_TEST(!With(late).RulesOutAsCause(JobId("j")));
   late.exact = false;
-  BOOST_TEST(With(late).Exceeds(JobId("j")));
+  BOOST_TEST(With(late).RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
