--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -326,8 +326,8 @@
 
 Duration Dispatcher::Objective(const SchedulingUnit& unit) const {
   const JobEntry& entry = *unit.entry;
-  const Duration chain = this->context->run_times.Expect(entry.job.queue.name,
-                                                         entry.critical_path);
+  const Duration chain = this->context->run_times.PredictRunTime(
+      entry.job.queue.name, entry.critical_path);
   return Scale(chain, unit.queue->stretch) + unit.queue->target;
 }
 
@@ -337,7 +337,7 @@
   unit->start_by = due;
   if (unit->step->long_running) return;
   const auto step = static_cast<std::size_t>(unit->ref.step);
-  const Duration chain = this->context->run_times.Expect(
+  const Duration chain = this->context->run_times.PredictRunTime(
       unit->entry->job.queue.name, unit->entry->remaining_path[step]);
   unit->start_by = due - chain;
   const Instant worthless = unit->entry->learned_at + kExpiryFactor * objective;
@@ -369,8 +369,8 @@
 }
 
 Instant Dispatcher::ExpectedEnd(const SchedulingUnit& unit, Instant now) const {
-  return now + this->context->run_times.Expect(unit.entry->job.queue.name,
-                                               unit.step->estimate);
+  return now + this->context->run_times.PredictRunTime(
+                   unit.entry->job.queue.name, unit.step->estimate);
 }
 
 void Dispatcher::AddCandidate(const SchedulingUnit& unit,
--- a/packages/jobs/src/ended_jobs.cc
+++ b/packages/jobs/src/ended_jobs.cc
@@ -55,7 +55,7 @@
   }
 }
 
-void EndedJobs::ForgetOld() {
+void EndedJobs::RemoveExpired() {
   if (this->removing) return;
   const Instant old = this->parts.executor->Now() - kFinalStateRetention;
   std::vector<JobId> removed;
--- a/packages/jobs/src/ended_jobs.h
+++ b/packages/jobs/src/ended_jobs.h
@@ -41,7 +41,7 @@
   /// Reads what former owners have stored.
   void Read();
   /// Removes those from the store that nobody may ask for any more.
-  void ForgetOld();
+  void RemoveExpired();
 
  private:
   struct Ended {
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -410,8 +410,8 @@
     this->OpenDueOccurrences();
     this->holds->SendAllDue();
     this->reservations->CheckAll();
-    this->ended->ForgetOld();
-    this->stored->ForgetUnclaimed();
+    this->ended->RemoveExpired();
+    this->stored->RemoveUnclaimed();
     this->RemoveExpiredProposals();
     this->dispatcher->SchedulePass();
     this->PublishMetrics();
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -124,7 +124,7 @@
         this->guard.Wrap([this, batch, sent](const CommitResult& result) {
           this->OnTransactionEnd(batch, sent, result);
         }));
-    if (this->gate.UsualAnswer() < kSlowAnswerThreshold) continue;
+    if (this->gate.TypicalLatency() < kSlowAnswerThreshold) continue;
     for (const EntryPtr& entry : batch) this->parts.on_sent(entry->request);
   }
 }
--- a/packages/jobs/src/job_json.cc
+++ b/packages/jobs/src/job_json.cc
@@ -11,11 +11,11 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t kMostSmall = std::numeric_limits<std::int32_t>::max();
+constexpr std::int64_t kMaxInt32 = std::numeric_limits<std::int32_t>::max();
 /// Amounts beyond would overflow when they are added up.
-constexpr std::int64_t kMostLarge = 1'000'000'000'000;
+constexpr std::int64_t kMaxAmount = 1'000'000'000'000;
 /// Times of day in milliseconds reach further.
-constexpr std::int64_t kMostTime = 1'000'000'000'000'000;
+constexpr std::int64_t kMaxUnixMs = 1'000'000'000'000'000;
 
 /// Reads the fields of one object; remembers the first that is wrong.
 class FieldReader {
@@ -35,11 +35,11 @@
     return value->is_number_integer() ? value->get<std::int64_t>()
                                       : static_cast<std::int64_t>(number);
   }
-  std::int32_t Small(const char* name) {
-    return static_cast<std::int32_t>(this->Integer(name, kMostSmall));
+  std::int32_t Int32(const char* name) {
+    return static_cast<std::int32_t>(this->Integer(name, kMaxInt32));
   }
   Duration Milliseconds(const char* name) {
-    return std::chrono::milliseconds(this->Integer(name, kMostLarge));
+    return std::chrono::milliseconds(this->Integer(name, kMaxAmount));
   }
   bool Flag(const char* name) {
     const Json* value = this->Find(name);
@@ -63,8 +63,8 @@
     }
     for (const Json& one : *value) {
       const bool whole = one.is_number_integer() &&
-                         one.get<std::int64_t>() >= -kMostSmall &&
-                         one.get<std::int64_t>() <= kMostSmall;
+                         one.get<std::int64_t>() >= -kMaxInt32 &&
+                         one.get<std::int64_t>() <= kMaxInt32;
       if (!whole) this->Fail(name, "an array of whole numbers");
       if (whole) numbers.push_back(one.get<std::int32_t>());
     }
@@ -91,10 +91,10 @@
 
 Step ReadStep(FieldReader* reader, const JobFieldNames& names) {
   Step step;
-  step.tasks = reader->Small(names.tasks);
-  step.each.cpu_milli = reader->Integer(names.cpu_milli, kMostLarge);
-  step.each.memory_mb = reader->Integer(names.memory_mb, kMostLarge);
-  step.each.accelerators = reader->Integer(names.accelerators, kMostLarge);
+  step.tasks = reader->Int32(names.tasks);
+  step.each.cpu_milli = reader->Integer(names.cpu_milli, kMaxAmount);
+  step.each.memory_mb = reader->Integer(names.memory_mb, kMaxAmount);
+  step.each.accelerators = reader->Integer(names.accelerators, kMaxAmount);
   step.estimate = reader->Milliseconds(names.estimate_ms);
   step.after = reader->Integers(names.after);
   step.checkpointing = reader->Flag(names.checkpointing);
@@ -105,15 +105,16 @@
   step.best_effort = reader->Flag(names.best_effort);
   step.required_label = reader->Text(names.required_label);
   step.near_rack = reader->Text(names.near_rack);
-  step.max_per_worker = reader->Small(names.max_per_worker);
+  step.max_per_worker = reader->Int32(names.max_per_worker);
   step.image = reader->Text(names.image);
   step.response_target = reader->Milliseconds(names.response_target_ms);
-  step.max_unavailable = reader->Small(names.max_unavailable);
+  step.max_unavailable = reader->Int32(names.max_unavailable);
   return step;
 }
 
 /// Problems of the whole name the fields as the caller wrote them.
-SpecProblem InNamesOf(SpecProblem problem, const JobFieldNames& names) {
+SpecProblem WithCallerFieldNames(SpecProblem problem,
+                                 const JobFieldNames& names) {
   const std::string tasks = "].tasks";
   if (problem.field.ends_with(tasks)) {
     problem.field.resize(problem.field.size() - tasks.size());
@@ -158,13 +159,13 @@
   JobSpec spec;
   FieldReader reader(json, "");
   spec.payload = reader.Text(names.payload);
-  spec.schedule.first_unix_ms = reader.Integer(names.first_unix_ms, kMostTime);
-  spec.schedule.interval_ms = reader.Integer(names.interval_ms, kMostLarge);
-  spec.schedule.occurrences = reader.Small(names.occurrences);
+  spec.schedule.first_unix_ms = reader.Integer(names.first_unix_ms, kMaxUnixMs);
+  spec.schedule.interval_ms = reader.Integer(names.interval_ms, kMaxAmount);
+  spec.schedule.occurrences = reader.Int32(names.occurrences);
   if (reader.Problem()) return *reader.Problem();
   if (auto problem = ReadSteps(json, names, &spec)) return *problem;
   if (auto problem = CheckSpec(spec, SpecLimits{})) {
-    return InNamesOf(std::move(*problem), names);
+    return WithCallerFieldNames(std::move(*problem), names);
   }
   return spec;
 }
--- a/packages/jobs/src/progress_writer.cc
+++ b/packages/jobs/src/progress_writer.cc
@@ -13,7 +13,7 @@
 
 /// Entries of the longest row: a condition and a put, and for a final job two
 /// removals.
-constexpr std::size_t kLongestRow = 4;
+constexpr std::size_t kMaxEntriesPerRow = 4;
 /// Transactions under way at once: with the pause between two, enough to keep a
 /// slow store busy.
 constexpr std::size_t kMaxInFlight = 10;
@@ -112,7 +112,8 @@
   transaction.conditions.push_back(OwnerCondition(this->token));
   std::deque<JobId> later;
   while (!this->order.empty() &&
-         CountEntries(transaction) + kLongestRow <= kMaxTransactionEntries) {
+         CountEntries(transaction) + kMaxEntriesPerRow <=
+             kMaxTransactionEntries) {
     const JobId id = this->order.front();
     this->order.pop_front();
     if (this->busy.contains(id)) {
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -70,7 +70,7 @@
   record.resources = TaskDemand(step);
   record.started_at = now;
   record.last_progress_at = now;
-  record.expected_end = now + this->context->run_times.Expect(
+  record.expected_end = now + this->context->run_times.PredictRunTime(
                                   entry.job.queue.name, step.estimate);
   const bool reserves = step.gang && this->context->QueueOf(entry).advice;
   for (std::size_t i = 0; i < runs.size(); ++i) {
--- a/packages/jobs/src/run_times.cc
+++ b/packages/jobs/src/run_times.cc
@@ -23,7 +23,8 @@
   known += kWeight * (ratio - known);
 }
 
-Duration RunTimes::Expect(const QueueName& queue, Duration estimate) const {
+Duration RunTimes::PredictRunTime(const QueueName& queue,
+                                  Duration estimate) const {
   const auto found = this->ratios.find(queue);
   const double ratio =
       found == this->ratios.end() ? 1.0 : found->second.actual_to_estimate;
--- a/packages/jobs/src/run_times.h
+++ b/packages/jobs/src/run_times.h
@@ -14,8 +14,8 @@
  public:
   void Learn(const QueueName& queue, Duration estimate, Duration actual);
   /// @return what a run with this estimate should take
-  [[nodiscard]] Duration Expect(const QueueName& queue,
-                                Duration estimate) const;
+  [[nodiscard]] Duration PredictRunTime(const QueueName& queue,
+                                        Duration estimate) const;
 
  private:
   struct Ratio {
--- a/packages/jobs/src/stored_progress.cc
+++ b/packages/jobs/src/stored_progress.cc
@@ -50,7 +50,7 @@
   return std::move(found.mapped());
 }
 
-void StoredProgress::ForgetUnclaimed() {
+void StoredProgress::RemoveUnclaimed() {
   const Instant now = this->parts.executor->Now();
   if (now < this->completed_at + kFinalStateRetention) return;
   for (const auto& [id, item] : std::exchange(this->items, {})) {
--- a/packages/jobs/src/stored_progress.h
+++ b/packages/jobs/src/stored_progress.h
@@ -43,7 +43,7 @@
   [[nodiscard]] std::optional<StoreItem> Claim(const JobId& id);
   /// Removes progress from the store that no job has claimed for so long that
   /// none will.
-  void ForgetUnclaimed();
+  void RemoveUnclaimed();
   /// Removes a job's progress from the store, if it still has this revision.
   void Remove(const JobId& id, Revision revision);
 
--- a/packages/jobs/src/write_gate.cc
+++ b/packages/jobs/src/write_gate.cc
@@ -10,13 +10,13 @@
 /// A write is overdue after this multiple of what answers take, and not before
 /// the least: 25 times the usual 4 ms of the users' store. Callers come seven
 /// times a second to a process, so one or two more writes are sent until then.
-constexpr std::int64_t kPatienceFactor = 3;
-constexpr Duration kLeastPatience = milliseconds(100);
+constexpr std::int64_t kOverdueFactor = 3;
+constexpr Duration kMinOverdueTime = milliseconds(100);
 /// Longest hold: the next renewal of the lease is sent within 0.3 s, and its
 /// answer tells that the store lives.
-constexpr Duration kLongestHold = kStoreLeaseRenewal + milliseconds(100);
+constexpr Duration kMaxHoldTime = kStoreLeaseRenewal + milliseconds(100);
 /// Part of a shorter answer in what is taken for usual.
-constexpr std::int64_t kFallDivisor = 8;
+constexpr std::int64_t kLatencyDecayDivisor = 8;
 
 }  // namespace
 
@@ -26,8 +26,9 @@
   const auto found = this->open.find(sent);
   if (found != this->open.end()) this->open.erase(found);
   const Duration took = now - sent;
-  const Duration fallen = this->usual + (took - this->usual) / kFallDivisor;
-  this->usual = std::max(took, fallen);
+  const Duration fallen = this->typical_latency +
+                          (took - this->typical_latency) / kLatencyDecayDivisor;
+  this->typical_latency = std::max(took, fallen);
   this->NoteAlive(sent);
 }
 
@@ -41,11 +42,11 @@
   this->alive_at = std::max(this->alive_at, sent);
 }
 
-Duration WriteGate::Patience() const {
-  return std::max(kLeastPatience, kPatienceFactor * this->usual);
+Duration WriteGate::OverdueAfter() const {
+  return std::max(kMinOverdueTime, kOverdueFactor * this->typical_latency);
 }
 
-std::optional<Instant> WriteGate::DoubtedSince(Instant now) const {
+std::optional<Instant> WriteGate::UnresponsiveSince(Instant now) const {
   if (this->failed_at && *this->failed_at >= this->alive_at) {
     return this->failed_at;
   }
@@ -53,15 +54,15 @@
   // lost, and the store lives.
   const auto oldest = this->open.upper_bound(this->alive_at);
   if (oldest == this->open.end()) return std::nullopt;
-  const Instant overdue = *oldest + this->Patience();
+  const Instant overdue = *oldest + this->OverdueAfter();
   if (now < overdue) return std::nullopt;
   return overdue;
 }
 
 WriteGate::Answer WriteGate::At(Instant now) const {
-  const auto since = this->DoubtedSince(now);
+  const auto since = this->UnresponsiveSince(now);
   if (!since) return Answer::kSend;
-  return now - *since < kLongestHold ? Answer::kHold : Answer::kRefuse;
+  return now - *since < kMaxHoldTime ? Answer::kHold : Answer::kRefuse;
 }
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/write_gate.h
+++ b/packages/jobs/src/write_gate.h
@@ -37,12 +37,14 @@
 
   [[nodiscard]] Answer At(Instant now) const;
   /// @return what an answer to a write takes
-  [[nodiscard]] Duration UsualAnswer() const { return this->usual; }
+  [[nodiscard]] Duration TypicalLatency() const {
+    return this->typical_latency;
+  }
 
  private:
-  [[nodiscard]] Duration Patience() const;
+  [[nodiscard]] Duration OverdueAfter() const;
   /// @return since when it is in doubt that the store answers
-  [[nodiscard]] std::optional<Instant> DoubtedSince(Instant now) const;
+  [[nodiscard]] std::optional<Instant> UnresponsiveSince(Instant now) const;
 
   /// Writes without an answer, by when they were sent.
   std::multiset<Instant> open;
@@ -51,7 +53,7 @@
   /// When the last write ended without an answer.
   std::optional<Instant> failed_at;
   /// What an answer takes: at once more, and slowly less.
-  Duration usual{0};
+  Duration typical_latency{0};
 };
 
 }  // namespace mustardproxy::jobs
