--- a/packages/jobs/include/mustardproxy/jobs/desired_state.h
+++ b/packages/jobs/include/mustardproxy/jobs/desired_state.h
@@ -13,16 +13,17 @@
 /// A pool of workers.
 struct Service {
   ServiceId id;
-  /// Its workers refuse what does not fit; else they start whatever they are
-  /// told to.
+  /// The workers reject tasks that exceed their capacity. Otherwise they start
+  /// every task that they are ordered to start.
   bool workers_enforce_capacity = false;
-  /// Its hosts are switched off until they are moved to another pool.
+  /// The hosts of the service are powered off until they are moved to another
+  /// service.
   bool standby = false;
 
   friend bool operator==(const Service&, const Service&) = default;
 };
 
-/// Bounds on callers' requests.
+/// Limits for requests of callers.
 struct RequestBounds {
   std::int64_t max_header_bytes = 16'384;
   std::int64_t max_body_bytes = 262'144;
@@ -32,14 +33,16 @@
   friend bool operator==(const RequestBounds&, const RequestBounds&) = default;
 };
 
-/// What operators want in force; replaced as a whole.
+/// The configuration that operators have put in force. It is always replaced as
+/// a whole.
 struct DesiredState {
   ConfigurationVersion version = 0;
   std::vector<Queue> queues;
   std::vector<Service> services;
   RequestBounds bounds;
 
-  /// @return the queue of the longest prefix for this host name, or null
+  /// @return the queue with the longest matching path prefix for this host
+  ///   name, or null
   [[nodiscard]] const Queue* Route(std::string_view host,
                                    std::string_view path) const;
   [[nodiscard]] const Queue* FindQueue(const QueueName& name) const;
--- a/packages/jobs/include/mustardproxy/jobs/job.h
+++ b/packages/jobs/include/mustardproxy/jobs/job.h
@@ -11,27 +11,29 @@
 #include "mustardproxy/core/resources.h"
 #include "mustardproxy/core/time.h"
 
-/// Jobs: steps of tasks that run on workers, each task once to its end.
+/// Jobs consist of steps of tasks that run on workers; each task runs to
+/// completion once.
 namespace mustardproxy::jobs {
 
-/// Chosen by the caller; the same id handed in again is the same job.
+/// Job id chosen by the caller. Submitting the same id again refers to the same
+/// job.
 using JobId = Id<struct JobTag>;
-/// A queue's name in the desired state.
+/// Name of a queue in the desired state.
 using QueueName = Id<struct QueueTag>;
 
-/// Counts the starts of one task from 1. All members of one start of a gang
-/// share the number.
+/// Number of a run of one task, counted from 1. All members of a gang run share
+/// the number.
 using RunNumber = std::int64_t;
 
 /// All tasks of one step in one occurrence of a job.
 struct StepRef {
   JobId job;
-  /// Which repetition of a scheduled job; 0 for a job that runs once.
+  /// Index of the occurrence of a recurring job; 0 for a job that runs once.
   std::int32_t occurrence = 0;
   std::int32_t step = 0;
 
   friend bool operator==(const StepRef&, const StepRef&) = default;
-  // clang-tidy takes the 0 of its own rewriting for a null pointer.
+  // clang-tidy reports the 0 in the rewritten comparison as a null pointer.
   friend std::strong_ordering operator<=>(const StepRef&,
                                           const StepRef&) = default;  // NOLINT
 };
@@ -42,7 +44,7 @@
   std::int32_t index = 0;
 
   friend bool operator==(const TaskRef&, const TaskRef&) = default;
-  // clang-tidy takes the 0 of its own rewriting for a null pointer.
+  // clang-tidy reports the 0 in the rewritten comparison as a null pointer.
   friend std::strong_ordering operator<=>(const TaskRef&,
                                           const TaskRef&) = default;  // NOLINT
 };
@@ -52,91 +54,96 @@
 /// @return `job.occurrence.step.index`, for logs
 [[nodiscard]] std::string Text(const TaskRef& task);
 
-/// How an outside policy service decides which workers may run a step.
+/// Timing of the external policy service that decides which workers may run a
+/// step.
 struct AdvicePolicy {
-  /// What one question costs there, whatever it asks.
+  /// Fixed time that the service takes to answer one question.
   Duration decision{0};
-  /// What each worker named in the question adds.
+  /// Additional time for each worker named in the question.
   Duration per_worker{0};
-  /// How long a permission holds.
+  /// How long a permission stays valid.
   Duration validity{0};
 
   friend bool operator==(const AdvicePolicy&, const AdvicePolicy&) = default;
 };
 
-/// A queue of the desired state: how its jobs are treated.
+/// A queue of the desired state; defines how its jobs are scheduled.
 struct Queue {
   QueueName name;
-  /// Callers choose the queue by this host name …
+  /// Host name of the requests that are routed to this queue.
   std::string host;
-  /// … and the longest of these that their path begins with.
+  /// Path prefix of the requests that are routed to this queue; the longest
+  /// matching prefix wins.
   std::string path_prefix;
-  /// Whose workers run the tasks.
+  /// Service whose workers run the tasks.
   ServiceId service;
-  /// 0 comes first and may preempt others.
+  /// Priority of the queue; 0 is the highest and may preempt tasks of the
+  /// others.
   std::int32_t priority = 0;
-  /// Failed runs of one task, or gang, that fail the job.
+  /// Number of failed runs of one task or gang after which the job fails.
   std::int32_t max_attempts = 1;
-  /// A job should take this times its longest chain of work …
+  /// The target duration of a job is its critical path times this factor, plus
+  /// `target`.
   double stretch = 1.0;
-  /// … and so much more.
+  /// Constant part of the target duration; see `stretch`.
   Duration target{0};
   std::optional<AdvicePolicy> advice;
 
   friend bool operator==(const Queue&, const Queue&) = default;
 };
 
-/// Tasks that are all alike.
+/// A group of identical tasks.
 struct Step {
   std::int32_t tasks = 1;
-  /// What each task takes; slots are not counted.
+  /// Resources required by each task; slots are not counted.
   Resources each;
-  /// The caller's estimate of a run, which may be far off.
+  /// Run time of one task as estimated by the caller; may be far off.
   Duration estimate{0};
-  /// Earlier steps that must be done first.
+  /// Indices of earlier steps that must be complete before this one starts.
   std::vector<std::int32_t> after;
-  /// Saves its progress, so that another run can resume.
+  /// Tasks save checkpoints, from which another run can resume.
   bool checkpointing = false;
-  /// All tasks run at the same time or none does.
+  /// Gang scheduling: all tasks run at the same time or none does.
   bool gang = false;
-  /// Slower on more than one rack.
+  /// Tasks run slower if they are spread over more than one rack.
   bool same_rack = false;
-  /// Copies of a task may run beside each other.
+  /// Several copies of one task may run concurrently.
   bool speculative = false;
-  /// Runs until the job is cancelled and is started again however it ends.
+  /// Tasks run until the job is cancelled and are restarted whenever they end.
   bool long_running = false;
-  /// Takes processor time that others leave; its processors are not counted.
+  /// Tasks use only idle processor time; their processors are not counted.
   bool best_effort = false;
-  /// Label that the worker must have; empty for any.
+  /// Label that a worker must have; empty for any.
   std::string required_label;
-  /// Rack where the data is; slower elsewhere. Empty for any.
+  /// Rack that holds the input data; tasks run slower elsewhere. Empty for any.
   std::string near_rack;
-  /// Most tasks on one worker; 0 for any number.
+  /// Maximum number of tasks on one worker; 0 for no limit.
   std::int32_t max_per_worker = 0;
-  /// Tasks of one image behave alike.
+  /// Image of the tasks; tasks with the same image behave alike.
   std::string image;
-  /// Bound on the tail of a long-running task's response times; 0 for none.
+  /// Upper bound for the tail response time of a long-running task; 0 for none.
   Duration response_target{0};
-  /// Tasks of a long-running step that the scheduler may take away at once.
+  /// Maximum number of tasks of a long-running step that the scheduler may stop
+  /// at the same time.
   std::int32_t max_unavailable = 0;
 
   friend bool operator==(const Step&, const Step&) = default;
 };
 
-/// When a job that repeats is due.
+/// Schedule of a recurring job.
 struct JobSchedule {
-  /// Milliseconds since 1970 of the first occurrence.
+  /// Unix time of the first occurrence, in milliseconds.
   std::int64_t first_unix_ms = 0;
   std::int64_t interval_ms = 0;
-  /// 0: the job runs once, at once.
+  /// Number of occurrences; 0 runs the job once, immediately.
   std::int32_t occurrences = 0;
 
   friend bool operator==(const JobSchedule&, const JobSchedule&) = default;
 };
 
-/// What a caller hands in.
+/// Job specification as submitted by a caller.
 struct JobSpec {
-  /// Opaque; each task gets it.
+  /// Opaque data that is passed to each task.
   std::string payload;
   std::vector<Step> steps;
   JobSchedule schedule;
@@ -147,19 +154,21 @@
 /// An accepted job.
 struct Job {
   JobId id;
-  /// As it stood when the job was accepted; used on if the queue is removed.
+  /// The queue as it was when the job was accepted; stays in effect if the
+  /// queue is removed.
   Queue queue;
   JobSpec spec;
-  /// By the clock of the host that accepted it.
+  /// Unix time of acceptance, in milliseconds, by the clock of the accepting
+  /// host.
   std::int64_t accepted_unix_ms = 0;
 };
 
-/// What callers are told of a job.
+/// State of a job as reported to callers.
 enum class JobState {
   /// Accepted; no task has started.
   kQueued,
   kRunning,
-  /// All tasks have ended well.
+  /// All tasks have completed successfully.
   kCompleted,
   /// A task or gang has failed as often as its queue allows.
   kFailed,
@@ -173,36 +182,36 @@
 /// @return `queued`, `running`, `completed`, `failed` or `cancelled`
 [[nodiscard]] std::string_view Name(JobState state);
 
-/// A job's state, and why it came to that.
+/// State of a job and the cause of a failure.
 struct JobStatus {
   JobState state = JobState::kQueued;
-  /// One sentence on why it failed; empty for other states, and if an earlier
-  /// version has stored the end.
+  /// One sentence that explains a failure. Empty in other states and if the
+  /// final state was stored by an earlier version.
   std::string cause;
 
   friend bool operator==(const JobStatus&, const JobStatus&) = default;
 };
 
-/// What is wrong with a job.
+/// A problem found in a job specification.
 struct SpecProblem {
-  /// The field, for example `steps[2].after[0]`.
+  /// Path of the field, for example `steps[2].after[0]`.
   std::string field;
-  /// What was found and what is allowed.
+  /// The value found and the values allowed.
   std::string reason;
 };
 
-/// Largest values that a job may have.
+/// Upper limits for a job specification.
 struct SpecLimits {
   std::size_t max_payload_bytes = 4000;
   std::int32_t max_steps = 64;
-  /// Tasks of all steps; the progress of a job has to fit in one value of the
-  /// store, at about 60 bytes a task.
+  /// Total number of tasks. The progress record of a job must fit in one value
+  /// of the store and takes about 60 bytes per task.
   std::int32_t max_tasks = 10'000;
   std::int32_t max_occurrences = 100'000;
 };
 
-/// Checks what a caller hands in, whole.
-/// @return the first problem, or nothing
+/// Validates a whole job specification.
+/// @return the first problem, or `std::nullopt` if there is none
 [[nodiscard]] std::optional<SpecProblem> CheckSpec(const JobSpec& spec,
                                                    const SpecLimits& limits);
 
--- a/packages/jobs/include/mustardproxy/jobs/job_json.h
+++ b/packages/jobs/include/mustardproxy/jobs/job_json.h
@@ -8,8 +8,8 @@
 
 namespace mustardproxy::jobs {
 
-/// What the fields of a job are called in JSON. The product's own names stand
-/// here; an adapter gives those of its platform.
+/// Names of the JSON fields of a job. The defaults are the names used by the
+/// product; an adapter supplies those of its platform.
 struct JobFieldNames {
   const char* payload = "payload";
   const char* steps = "steps";
@@ -36,13 +36,14 @@
   const char* max_unavailable = "max_unavailable";
 };
 
-/// Reads a job from JSON and checks it whole. Fields that are not known are
+/// Parses a job specification from JSON and validates it. Unknown fields are
 /// ignored.
-/// @return the job, or the first problem, named by the field as it was written
+/// @return the job specification, or the first problem with the field name as
+///   it appears in `names`
 ///
 /// @code
-/// auto parsed = ParseJobJson(R"({"steps":[{"tasks":4,"cpu_milli":500}]})",
-/// {});
+///     auto parsed =
+///         ParseJobJson(R"({"steps":[{"tasks":4,"cpu_milli":500}]})", {});
 /// @endcode
 [[nodiscard]] std::variant<JobSpec, SpecProblem> ParseJobJson(
     std::string_view text, const JobFieldNames& names);
--- a/packages/jobs/include/mustardproxy/jobs/key_value_store.h
+++ b/packages/jobs/include/mustardproxy/jobs/key_value_store.h
@@ -13,9 +13,10 @@
 
 namespace mustardproxy::jobs {
 
-/// Counts all changes of the store; each item bears that of its last change.
+/// Number of a change of the store. Each item holds the revision of its last
+/// change.
 using Revision = std::int64_t;
-/// A lease of the store; 0 for none.
+/// Id of a lease of the store; 0 for none.
 using StoreLeaseId = std::int64_t;
 
 struct StoreItem {
@@ -25,16 +26,17 @@
   StoreLeaseId lease = 0;
 };
 
-/// One page of the items below a prefix, in order of keys.
+/// One page of the items with a given key prefix, in key order.
 struct StorePage {
   std::vector<StoreItem> items;
-  /// There are more after the last key.
+  /// More items follow after the last key.
   bool truncated = false;
   /// Revision of the store when the page was read.
   Revision current = 0;
 };
 
-/// A change; pages and events together show every item's newest state.
+/// A change of one item. A listing followed by the events since its revision
+/// yields the current state of every item.
 struct StoreEvent {
   StoreItem item;
   bool deleted = false;
@@ -42,11 +44,11 @@
 
 struct StoreEvents {
   std::vector<StoreEvent> events;
-  /// Where to go on.
+  /// Revision from which to continue the watch.
   Revision current = 0;
 };
 
-/// The key must have this revision; 0: it must not exist.
+/// Requires that the key has this revision, or does not exist if it is 0.
 struct StoreCondition {
   std::string key;
   Revision revision = 0;
@@ -58,52 +60,53 @@
   StoreLeaseId lease = 0;
 };
 
-/// All or nothing.
+/// An atomic write: either all changes are applied or none.
 struct Transaction {
   std::vector<StoreCondition> conditions;
   std::vector<StorePut> puts;
   std::vector<std::string> removals;
 };
 
-/// Most conditions, puts and removals of one transaction together.
+/// Maximum total number of conditions, puts and removals in one transaction.
 inline constexpr std::size_t kMaxTransactionEntries = 32;
 
-/// How a write ended.
+/// Outcome of a write.
 enum class CommitOutcome {
   kCommitted,
-  /// A condition does not hold; nothing was written.
+  /// A condition is not met; nothing was written.
   kConflict,
-  /// The lease named has ended; nothing was written.
+  /// The lease does not exist any more; nothing was written.
   kLeaseNotFound,
-  /// The store refused or was never reached; nothing was or will be written.
+  /// The store rejected the write or could not be reached; nothing was written,
+  /// nor will be.
   kNotDone,
-  /// No answer: it may have been written, or be written seconds later if its
-  /// conditions still hold then.
+  /// No response arrived: the write may have been applied, or may still be
+  /// applied seconds later if its conditions are met then.
   kUncertain,
 };
 
 struct CommitResult {
   CommitOutcome end = CommitOutcome::kUncertain;
-  /// Of all keys written, if committed.
+  /// Revision of all written keys, if committed.
   Revision revision = 0;
-  /// Present state of the keys in the conditions, after a conflict; absent keys
-  /// are left out.
+  /// After a conflict: the current state of the keys in the conditions. Keys
+  /// that do not exist are omitted.
   std::vector<StoreItem> found;
 };
 
-/// A lease that was granted.
+/// A granted lease.
 struct StoreLease {
   StoreLeaseId id = 0;
   Duration ttl{0};
 };
 
 /// Client of the platform's key-value store. Reads are linearizable. Each call
-/// ends by exactly one call of `done` on the control thread, never before the
-/// call returns.
+/// invokes `done` exactly once, on the control thread and never before the call
+/// returns.
 ///
-/// Errors of reads and leases: `kUnknownRequest` if the key or lease is not
-/// there, `kHistoryLost` for a watch whose start is forgotten,
-/// `kPlatformUnavailable` for everything else.
+/// Errors of reads and leases: `kUnknownRequest` if the key or lease does not
+/// exist, `kHistoryLost` if the start revision of a watch is no longer
+/// available, `kPlatformUnavailable` otherwise.
 class KeyValueStore {
  public:
   template <typename T>
@@ -115,17 +118,18 @@
   virtual ~KeyValueStore() = default;
 
   virtual void Read(std::string_view key, Done<StoreItem> done) = 0;
-  /// @param after last key of the page before; empty for the first
+  /// @param after last key of the previous page; empty for the first page
   virtual void List(std::string_view prefix, std::string_view after,
                     Done<StorePage> done) = 0;
-  /// Ends with the changes after `revision`, or with none after `wait`.
+  /// Completes with the changes after `revision`, or with none once `wait` has
+  /// passed.
   virtual void Watch(std::string_view prefix, Revision revision, Duration wait,
                      Done<StoreEvents> done) = 0;
   virtual void Commit(Transaction transaction,
                       std::function<void(CommitResult)> done) = 0;
   virtual void GrantLease(Duration ttl, Done<StoreLease> done) = 0;
   virtual void RenewLease(StoreLeaseId lease, Done<StoreLease> done) = 0;
-  /// Ends it now, with its keys. No answer is waited for.
+  /// Revokes the lease and removes its keys. Does not wait for a response.
   virtual void EndLease(StoreLeaseId lease) = 0;
 };
 
--- a/packages/jobs/include/mustardproxy/jobs/worker_driver.h
+++ b/packages/jobs/include/mustardproxy/jobs/worker_driver.h
@@ -15,29 +15,30 @@
 
 namespace mustardproxy::jobs {
 
-/// Fencing token of the scheduler that orders; a worker obeys its highest only.
+/// Fencing token of the scheduler that sends an order. A worker accepts only
+/// orders with the highest token that it has seen.
 using FencingToken = std::int64_t;
 
-/// One life of a worker as it describes itself.
+/// Description of one incarnation of a worker, as the worker reports it.
 struct WorkerInfo {
   WorkerIncarnation incarnation;
-  /// `ip:port` for orders.
+  /// Address for orders, as `ip:port`.
   std::string address;
   ServiceId service;
   DataCenterId data_center;
   Resources capacity;
   std::vector<std::string> labels;
-  /// The one of its labels that names its rack.
+  /// The label that names the worker's rack.
   std::string rack;
-  /// Takes no new tasks and will leave.
+  /// The worker accepts no new tasks and is going to stop.
   bool draining = false;
-  /// Least time that it still runs while it drains.
+  /// Minimum time for which a draining worker keeps running.
   Duration remaining{0};
 
   friend bool operator==(const WorkerInfo&, const WorkerInfo&) = default;
 };
 
-/// Which life of which worker an order is for.
+/// Incarnation and address of the worker that an order is sent to.
 struct WorkerTarget {
   WorkerIncarnation incarnation;
   std::string address;
@@ -49,7 +50,7 @@
   RunNumber run = 0;
 
   friend bool operator==(const RunRef&, const RunRef&) = default;
-  // clang-tidy takes the 0 of its own rewriting for a null pointer.
+  // clang-tidy reports the 0 in the rewritten comparison as a null pointer.
   friend std::strong_ordering operator<=>(const RunRef&,
                                           const RunRef&) = default;  // NOLINT
 };
@@ -57,11 +58,12 @@
 struct StartOrder {
   RunRef run;
   std::string payload;
-  /// Where to resume; empty for the beginning.
+  /// Checkpoint to resume from; empty to start from the beginning.
   std::string checkpoint;
-  /// Permission of the policy service; empty if none is needed.
+  /// Permission issued by the policy service; empty if none is required.
   std::string ticket;
-  /// On the worker's clock: everything there is killed then unless renewed.
+  /// End of the lease, in milliseconds on the worker's clock. Unless it is
+  /// renewed, the worker kills everything that it runs at that time.
   std::int64_t lease_until_ms = 0;
   FencingToken token = 0;
 };
@@ -71,43 +73,49 @@
   FencingToken token = 0;
 };
 
-/// Renews the lease of all that runs on a worker, notes ends and lists both.
+/// Renews the lease of all runs on a worker, acknowledges ended runs, and asks
+/// for the lists of running and ended runs.
 struct HoldOrder {
   std::int64_t lease_until_ms = 0;
-  /// Ends up to this number are forgotten there.
+  /// The worker may forget ended runs up to this number.
   std::int64_t acknowledged_end = 0;
-  /// How long the answer may wait for an end.
+  /// Maximum time that the worker may delay its response while it waits for a
+  /// run to end.
   Duration wait{0};
   FencingToken token = 0;
 };
 
-/// How an order ended.
+/// Outcome of an order.
 enum class OrderOutcome {
   kDone,
-  /// The worker has seen a higher token.
+  /// The worker has seen an order with a higher token.
   kFenced,
-  /// This run, or a higher one, has been there already, or was stopped before.
+  /// The worker has already seen or stopped this run, or a later run of the
+  /// task.
   kOldRun,
-  /// The lease would have lapsed on arrival.
+  /// The lease had already expired when the order arrived.
   kLeaseExpired,
   kNoRoom,
-  /// The permission is missing or has lapsed.
+  /// The permission is missing or has expired.
   kNoTicket,
   kInvalid,
-  /// Another life of the worker answered: the one meant is gone.
+  /// Another incarnation of the worker responded; the addressed one has ended.
   kOtherIncarnation,
-  /// The worker said no for now, or was never reached; nothing was done.
+  /// The worker rejected the order temporarily or could not be reached; the
+  /// order was not carried out.
   kRefused,
-  /// No answer: it may have been done, or be done seconds later.
+  /// No response arrived: the order may have been carried out, or may still be
+  /// carried out seconds later.
   kUncertain,
 };
 
 struct OrderResult {
   OrderOutcome end = OrderOutcome::kUncertain;
-  /// The worker's clock, if it answered; else 0.
+  /// Time on the worker's clock in milliseconds; 0 if the worker did not
+  /// respond.
   std::int64_t clock_ms = 0;
-  /// Start of the life that answered, in Unix milliseconds; 0 if the answer
-  /// does not tell.
+  /// Start time of the incarnation that responded, in Unix milliseconds; 0 if
+  /// the response does not contain it.
   std::int64_t start_unix_ms = 0;
 };
 
@@ -115,8 +123,8 @@
   RunRef run;
   std::string checkpoint;
   std::int32_t percent = 0;
-  /// For a long-running task the tail of its response times in milliseconds,
-  /// else processors in use in thousandths; over the last half second.
+  /// Measured over the last half second: the tail response time in milliseconds
+  /// for a long-running task, otherwise the processors in use in thousandths.
   std::int64_t measured = 0;
 };
 
@@ -124,11 +132,11 @@
   kDone,
   kFailed,
   kStopped,
-  /// The lease of the worker lapsed.
+  /// The lease of the worker expired.
   kLapsed,
-  /// Another member of its gang ended.
+  /// Another member of the gang ended.
   kGangMemberEnded,
-  /// The other members of its gang did not come in time.
+  /// The other members of the gang did not start in time.
   kGangIncomplete,
 };
 
@@ -136,7 +144,8 @@
 [[nodiscard]] std::string_view Name(OrderOutcome end);
 
 struct EndedRun {
-  /// Counts the ends of one life of the worker from 1.
+  /// Sequence number of the end, counted from 1 within one incarnation of the
+  /// worker.
   std::int64_t number = 0;
   RunRef run;
   RunEnd end = RunEnd::kFailed;
@@ -146,17 +155,18 @@
 struct HoldResult {
   OrderResult order;
   std::vector<RunningRun> running;
-  /// In order of their numbers.
+  /// In ascending order of their numbers.
   std::vector<EndedRun> ended;
-  /// The list of ends was cut at the most that one answer holds.
+  /// The list of ended runs was truncated to the maximum size of one response.
   bool more_ended = false;
 
-  /// @return all runs that either list names
+  /// @return all runs in `running` and `ended`
   [[nodiscard]] std::set<RunRef> ListedRuns() const;
 };
 
-/// Sends orders to workers. Each ends by one call of `done` on the control
-/// thread, never before the call returns. Nothing is sent twice.
+/// Sends orders to workers. Each call invokes `done` exactly once, on the
+/// control thread and never before the call returns. Orders are not
+/// retransmitted.
 class WorkerDriver {
  public:
   WorkerDriver() = default;
--- a/packages/jobs/include/mustardproxy/jobs/worker_incarnation.h
+++ b/packages/jobs/include/mustardproxy/jobs/worker_incarnation.h
@@ -9,27 +9,28 @@
 
 namespace mustardproxy::jobs {
 
-/// One life of a worker. The id alone names a place in which lives follow each
-/// other; what a worker counts, holds or was told belongs to one of them.
+/// Identifies one incarnation of a worker, from its start to its end.
+/// Successive incarnations share the id. Sequence numbers, runs and orders
+/// belong to a single incarnation.
 struct WorkerIncarnation {
   WorkerId id;
-  /// Start of the life in Unix milliseconds, as the worker tells it; 0 if it
-  /// does not, and the id then names the life.
+  /// Start time in Unix milliseconds as reported by the worker. 0 if the worker
+  /// does not report it; the id alone then identifies the incarnation.
   std::int64_t start_unix_ms = 0;
 
   friend bool operator==(const WorkerIncarnation&,
                          const WorkerIncarnation&) = default;
-  // clang-tidy takes the 0 of its own rewriting for a null pointer.
+  // clang-tidy reports the 0 in the rewritten comparison as a null pointer.
   friend std::strong_ordering operator<=>(const WorkerIncarnation&,
                                           const WorkerIncarnation&) =
       default;  // NOLINT
 };
 
-/// @return false if the two are known to be different lives
+/// @return false if `a` and `b` are known to be different incarnations
 [[nodiscard]] bool MayBeSameIncarnation(const WorkerIncarnation& a,
                                         const WorkerIncarnation& b);
 
-/// @return `id@born`, or the id alone if the birth is not known
+/// @return `id@start`, or the id alone if the start time is not known
 [[nodiscard]] std::string Text(const WorkerIncarnation& worker);
 
 }  // namespace mustardproxy::jobs
