--- a/packages/jobs/src/crash_history.cc
+++ b/packages/jobs/src/crash_history.cc
@@ -8,11 +8,11 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// No task is given up for fewer.
+/// Minimum number of lost workers after which a task may be failed.
 constexpr std::size_t kMinLosses = 2;
-/// Beyond the time that earlier runs survived.
+/// Added to the longest run time before an earlier loss.
 constexpr Duration kProbationMargin = milliseconds(200);
-/// Bounds how long a worker is kept for one task.
+/// Maximum time for which a worker is reserved for one task.
 constexpr Duration kMaxProbationPeriod = seconds(5);
 
 }  // namespace
@@ -64,8 +64,9 @@
   std::vector<WorkerLoss> counted;
   bool discounted = false;
   for (const WorkerLoss& loss : this->losses) {
-    // Once at most, but for runs that were long at work: a task that takes its
-    // workers down may do so in the same moments as others.
+    // At most one loss after a short run is discounted: a task that crashes its
+    // workers may do so at the same time as others. All losses after long runs
+    // are discounted.
     const bool proven = loss.survived >= kProvenRunTime;
     const bool discount =
         loss.in_outage && (proven || !std::exchange(discounted, true));
@@ -81,7 +82,7 @@
 }
 
 Duration CrashHistory::ProbationPeriod() const {
-  // The next loss decides: nothing else may be to blame for it.
+  // The next loss is decisive, so no other task may be a possible cause of it.
   if (this->losses.size() > 1) return kMaxProbationPeriod;
   Duration longest{0};
   for (const WorkerLoss& loss : this->losses) {
--- a/packages/jobs/src/crash_history.h
+++ b/packages/jobs/src/crash_history.h
@@ -13,39 +13,41 @@
 
 namespace mustardproxy::jobs {
 
-/// A worker that was lost under a run of a task.
+/// The loss of a worker that was running a task.
 struct WorkerLoss {
-  /// The life that ended.
+  /// The incarnation that was lost.
   WorkerIncarnation worker;
-  /// Another life has answered at its address. A worker that is merely silent
-  /// may have been cut off.
+  /// The loss is confirmed: another incarnation responded at the worker's
+  /// address. A worker that merely does not respond may be partitioned.
   bool certain = false;
-  /// How long the run is known to have been at work.
+  /// Time for which the run is known to have been running.
   Duration survived{0};
-  /// The start had reached the worker, which never listed the run: it may have
-  /// gone by that start.
+  /// The start order reached the worker, but the worker never listed the run:
+  /// the start itself may have crashed the worker.
   bool at_start = false;
-  /// Nothing else there could have been the cause.
+  /// No other run on the worker can have caused the loss.
   bool alone = false;
-  /// Many workers went down at the same moment: hardly by this task.
+  /// Many workers were lost at the same time, so that this task is unlikely to
+  /// be the cause.
   bool in_outage = false;
 };
 
-/// Workers that were lost while they ran one task: signs that the task takes
-/// its workers down.
+/// Records the workers that were lost while they ran a task, to detect tasks
+/// that crash their workers.
 class CrashHistory {
  public:
-  /// Takes note of a loss, once for each life.
+  /// Records a loss, once per worker incarnation.
   void Note(const WorkerLoss& loss);
-  /// The worker is known to have ended its life.
-  /// @return true if it was not known before
+  /// Marks the loss of the worker as confirmed.
+  /// @return true if the loss was recorded and not confirmed before
   bool Confirm(const WorkerIncarnation& worker);
-  /// The worker lives: this life was not lost, and those before under its id
-  /// are over.
+  /// Removes the loss of a worker that has responded again, and confirms the
+  /// losses of its earlier incarnations.
   void NoteAlive(const WorkerIncarnation& worker);
 
-  /// The loss of any of these workers says little about the task.
-  /// @return true if one of them counted before
+  /// Marks the losses of these workers as part of an outage, which says little
+  /// about the task.
+  /// @return true if at least one of them was not marked before
   bool Discount(const std::set<WorkerIncarnation>& workers);
 
   [[nodiscard]] bool Empty() const { return this->losses.empty(); }
@@ -54,25 +56,27 @@
   }
   /// @return the workers, separated by spaces, for logs
   [[nodiscard]] std::string Text() const;
-  /// @return true if the next run is to be kept apart from other tasks
+  /// @return true if the next run must be isolated from other tasks
   [[nodiscard]] bool Suspicious() const;
-  /// @return how long a run has to be at work to be no longer suspicious
+  /// @return how long a run must keep running before it is no longer isolated
   [[nodiscard]] Duration ProbationPeriod() const;
-  /// @param max_losses workers that may be lost under the task; one more if
-  ///   another task may have been the cause, one fewer if each went at its
-  ///   start
-  /// @return true if no more worker is to be put at risk
+  /// @param max_losses number of workers that may be lost while they run the
+  ///   task; one more if another task may have been the cause, one fewer if
+  ///   each was lost when the task started
+  /// @return true if no further worker may be put at risk
   [[nodiscard]] bool Unsafe(std::size_t max_losses) const;
-  /// @return true if one more start decides, whatever its run ends by
+  /// @return true if the task may be started only once more, whatever the
+  ///   outcome of that run
   [[nodiscard]] bool AtLimit(std::size_t max_losses) const;
 
  private:
-  /// @return losses that count against the task
+  /// @return the losses that count against the task
   [[nodiscard]] std::vector<WorkerLoss> Counted() const;
-  /// @return true if each of the workers may have gone by the start of its run
+  /// @return true if each of the workers may have been lost because of the
+  ///   start of its run
   [[nodiscard]] static bool AllAtStart(std::span<const WorkerLoss> losses);
 
-  /// The oldest first.
+  /// In the order in which they were recorded.
   std::vector<WorkerLoss> losses;
 };
 
--- a/packages/jobs/src/ended_jobs.cc
+++ b/packages/jobs/src/ended_jobs.cc
@@ -68,8 +68,8 @@
   transaction.conditions.push_back({keys::Owner(), this->parts.token});
   for (const JobId& id : removed) {
     transaction.removals.push_back(keys::OfEnded(id));
-    // Kept until now: whoever reads the keys of a job one by one must not find
-    // its cancellation gone before its end.
+    // The cancellation is kept until now: a reader that reads the keys of a job
+    // one by one must not find its cancellation removed before its final state.
     transaction.removals.push_back(keys::OfCancel(id));
   }
   this->removing = true;
@@ -84,7 +84,7 @@
 
 void EndedJobs::OnRemoved(const std::vector<JobId>& removed,
                           const CommitResult& result) {
-  // Otherwise the next round tries again.
+  // On failure the next call tries again.
   if (result.end != CommitOutcome::kCommitted) return;
   for (const JobId& id : removed) {
     this->ends.erase(id);
--- a/packages/jobs/src/ended_jobs.h
+++ b/packages/jobs/src/ended_jobs.h
@@ -17,14 +17,14 @@
 
 namespace mustardproxy::jobs {
 
-/// Final jobs for as long as callers may ask for them. Only how they ended is
-/// kept: a job's tasks and payload are of no use any more.
+/// Final jobs, kept for as long as callers may query them. Only their final
+/// state is kept; tasks and payload are no longer needed.
 ///
-/// What former owners have stored is read beside the work, page by page, so
-/// that a takeover takes no longer the more jobs have ended.
+/// Records of previous owners are read page by page in the background, so that
+/// the duration of a takeover does not depend on the number of final jobs.
 class EndedJobs {
  public:
-  /// What it works with; all outlive it.
+  /// Dependencies; all of them must outlive this object.
   struct Parts {
     Executor* executor = nullptr;
     KeyValueStore* store = nullptr;
@@ -34,13 +34,14 @@
 
   explicit EndedJobs(const Parts& parts);
 
-  /// A job's final state is stored.
+  /// Records that the final state of a job is stored.
   void Note(const JobId& id, JobStatus status);
-  /// @return how it ended, or nothing if it is not known to have ended
+  /// @return the final state of a job, or `std::nullopt` if it is not known to
+  ///   be final
   [[nodiscard]] std::optional<JobStatus> Find(const JobId& id) const;
-  /// Reads what former owners have stored.
+  /// Reads the records of previous owners.
   void Read();
-  /// Removes those from the store that nobody may ask for any more.
+  /// Removes the records whose retention time has passed from the store.
   void RemoveExpired();
 
  private:
@@ -55,7 +56,7 @@
 
   Parts parts;
   std::unordered_map<JobId, JobStatus> ends;
-  /// In the order in which they were noted.
+  /// In the order in which they were recorded.
   std::deque<Ended> order;
   bool removing = false;
   CallbackGuard guard;
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -14,11 +14,11 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Most pauses of `kHoldRetryDelay` between two holds of a worker that is
-/// silent.
+/// Maximum delay between two holds of an unresponsive worker, in multiples of
+/// `kHoldRetryDelay`.
 constexpr std::int32_t kMaxRetryFactor = 4;
-/// How long after a life has answered it is told of ends: less than a worker
-/// takes to start again.
+/// Ends are acknowledged to an incarnation only within this time after its last
+/// response; shorter than a worker takes to restart.
 constexpr Duration kAcknowledgeWindow = milliseconds(250);
 
 }  // namespace
@@ -34,14 +34,14 @@
 bool HoldLoop::IsDue(const WorkerSession& session) const {
   if (session.hold_in_flight || session.gone) return false;
   if (session.info.address.empty()) return false;
-  // An entry of a service that operators don't name is no worker of theirs.
+  // Workers of services that are not in the desired state are not managed.
   const bool ours =
       !session.runs.empty() || this->context->HasService(session.info.service);
   if (!ours) return false;
   const Instant now = this->context->executor->Now();
   if (now < session.next_hold) return false;
-  // Ends that are not stored yet would only be listed again. Yet the lease of
-  // what runs must not lapse while the store is away.
+  // The worker would only list again the ends that are not stored yet. The
+  // lease of its runs must still be renewed while the store is unavailable.
   const bool renewal_due = now >= session.hold_sent + this->Wait();
   if (!session.unstored_ends.empty() && !renewal_due) return false;
   const bool untold = session.durable_end > session.sent_acknowledged_end;
@@ -52,17 +52,18 @@
 HoldOrder HoldLoop::MakeOrder(const WorkerSession& session, Instant now) const {
   HoldOrder order;
   order.token = session.token;
-  // Failure: a worker has started again unnoticed, and forgets its first ends,
-  // which nobody has read, by the number that its former life had reached. What
-  // was told is not repeated, and only a worker is told whose life has just
-  // answered.
+  // Failure: a worker has restarted unnoticed, and the sequence number reached
+  // by its former incarnation makes it forget its first ends before they were
+  // read. An acknowledgement is therefore sent only once, and only to an
+  // incarnation that has just responded.
   const bool untold = session.durable_end > session.sent_acknowledged_end;
   const bool verified =
       !session.suspect && now < session.verified + kAcknowledgeWindow;
   if (untold && verified) order.acknowledged_end = session.durable_end;
-  // Failure: a worker is gone for good and each try to reach it puts the moment
-  // off at which its lease has lapsed for certain, so that its tasks never
-  // start elsewhere. A silent worker is only asked, and its lease runs out.
+  // Failure: a worker is permanently lost, and each attempt to reach it
+  // postpones the time at which its lease is certain to have expired, so that
+  // its tasks are never started elsewhere. An unresponsive worker is therefore
+  // only queried, and its lease runs out.
   if (!session.suspect) {
     order.lease_until_ms = session.LeaseUntilMs(now, kWorkerLease);
   }
@@ -99,7 +100,7 @@
   const Instant now = this->context->executor->Now();
   std::vector<WorkerId> finished;
   for (const auto& [id, session] : this->context->workers) {
-    // A run whose start was never sent has no lease that could lapse.
+    // A run whose start order was never sent has no lease that could expire.
     if (now >= session->LapsesAt()) {
       if (session->HasOrdered()) {
         this->context->runs->HandleWorkerLoss(session.get(),
@@ -113,7 +114,8 @@
   }
   for (const WorkerId& id : finished) {
     WorkerSession* session = this->context->workers.FindLatest(id);
-    // An entry of a life that is over stays until the platform removes it.
+    // The store entry of an incarnation that has ended stays until the platform
+    // removes it.
     if (session->listed) continue;
     this->context->health.Remove(id);
     this->context->workers.Remove(id);
@@ -128,7 +130,7 @@
       this->context->runs->NoteAnswer(worker, asked, result.order, &result);
   if (session == nullptr) return;
   if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
-    // The hold carried the token of the former life.
+    // The hold carried the token for the former incarnation.
     this->SendIfDue(session);
     return;
   }
@@ -209,12 +211,12 @@
 void HoldLoop::StopUnwantedRun(WorkerSession* session,
                                const RunningRun& listed) {
   const Step* step = this->context->jobs.FindStep(listed.run.task.step);
-  // It is none of the runs that are wanted: its job is over, or it was given up
-  // on. It takes room until it has ended.
+  // The run is not wanted: its job is final or the run was already considered
+  // ended. It occupies resources until it ends.
   SessionRun record;
-  // Failure: its job is not known any more, nobody can tell what it takes, and
-  // the worker gets more than it has room for. Until it has ended, which takes
-  // the worker a fraction of a second, nothing else starts there.
+  // Failure: the job is not known any more, so the resources of the run are
+  // unknown and the worker is overcommitted. Until the run has ended, which
+  // takes a fraction of a second, nothing else is started on the worker.
   record.resources =
       step == nullptr ? session->info.capacity : TaskDemand(*step);
   record.phase = RunPhase::kStarted;
@@ -249,7 +251,8 @@
   const WorkerIncarnation worker = session->Incarnation();
   auto batch = std::make_shared<EndBatch>();
   batch->last_number = session->received_end;
-  // One for this loop itself, so that it ends only once.
+  // Counts this function itself as one open write, so that the batch completes
+  // only once.
   batch->open_writes = 1;
   session->unstored_ends.push_back(batch);
   const auto stored = this->guard.Wrap([this, worker, batch] {
--- a/packages/jobs/src/hold_loop.h
+++ b/packages/jobs/src/hold_loop.h
@@ -7,32 +7,35 @@
 
 namespace mustardproxy::jobs {
 
-/// Keeps one hold on its way to each worker that runs something: it renews the
-/// lease there, waits for ends, and tells the worker which ends are stored.
+/// Keeps one hold in flight to each worker that runs something. A hold renews
+/// the lease of the worker, waits for runs to end, and tells the worker which
+/// ends are stored.
 ///
-/// The worker's list of ends is the journal of what happened there: an end is
-/// noted only once its consequence is in the store, so whoever owns the group
-/// next finds it either there or at the worker.
+/// The list of ended runs on the worker acts as a journal: an end is
+/// acknowledged only after its effects are in the store. The next owner of the
+/// group finds it either in the store or on the worker.
 class HoldLoop {
  public:
   explicit HoldLoop(OwnerContext* context);
 
-  /// Sends a hold if one is due.
+  /// Sends a hold to the worker if one is due.
   void SendIfDue(WorkerSession* session);
-  /// Sends all that are due, and gives up workers whose lease has lapsed.
+  /// Sends all holds that are due, and handles the loss of workers whose lease
+  /// has expired.
   void SendAllDue();
 
  private:
   bool IsDue(const WorkerSession& session) const;
-  /// @return how long a hold waits at its worker, given how many workers there
-  ///   are
+  /// @return how long a hold waits at its worker, depending on the number of
+  ///   workers
   [[nodiscard]] Duration Wait() const;
   HoldOrder MakeOrder(const WorkerSession& session, Instant now) const;
   void OnHold(const WorkerIncarnation& worker, Instant asked,
               const HoldOrder& sent, const HoldResult& result);
   void OnAnswer(WorkerSession* session, Instant asked,
                 const HoldResult& result);
-  /// @param broken_before a call that ended earlier was not timed out
+  /// @param broken_before a call that ended before this time was ended by a
+  ///   broken connection rather than by its timeout
   void OnHoldFailed(WorkerSession* session, OrderOutcome end,
                     Instant broken_before);
   void ReadRunning(WorkerSession* session, const HoldResult& result);
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -13,9 +13,9 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// How long a worker may go on with what an order started that was meant for
-/// its former life: the lease in it counts on another clock, and the worker
-/// shortens it to the longest that it gives.
+/// Maximum time for which a worker may execute a run started by an order for
+/// its former incarnation. The lease in the order refers to the clock of that
+/// incarnation, and the worker limits it to the longest lease that it grants.
 Duration MaxLeaseDuration() {
   const auto lease = static_cast<double>(kMaxWorkerLease.count());
   return Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
@@ -35,7 +35,8 @@
     return this->AddSession(info, inherited_until);
   }
   if (!MayBeSameIncarnation(known->Incarnation(), info.incarnation)) {
-    // A life that was met by its answer has yet to write its first entry.
+    // An incarnation that was first seen in a response has not written its
+    // entry yet.
     if (info.incarnation.start_unix_ms < known->Incarnation().start_unix_ms)
       return nullptr;
     return this->BeginIncarnation(known, info, "entry", nullptr);
@@ -51,16 +52,17 @@
                                               const HoldResult* lists) {
   WorkerSession* known = this->context->workers.Find(meant);
   if (known == nullptr) return nullptr;
-  // Another worker at its address says nothing about lives under this id.
+  // A different worker at this address says nothing about the incarnations of
+  // this id.
   if (result.end == OrderOutcome::kOtherIncarnation) return known;
   const WorkerIncarnation answered{meant.id, result.start_unix_ms};
   if (MayBeSameIncarnation(known->Incarnation(), answered)) {
     known->SetStartTimeIfUnknown(result.start_unix_ms);
     return known;
   }
-  // An answer may be overtaken by one of the next life. But no former life
-  // answers what was asked once the present one was known, whatever the clock
-  // said at its start.
+  // A response may arrive after one of the next incarnation. However, a former
+  // incarnation cannot respond to an order that was sent after the current one
+  // was known, whatever start time the clocks gave them.
   const bool later = asked >= known->KnownSince() ||
                      result.start_unix_ms > known->Incarnation().start_unix_ms;
   if (!later) return nullptr;
@@ -71,7 +73,8 @@
                                               Instant inherited_until) {
   WorkerSession* known = this->context->workers.FindLatest(worker.id);
   if (known == nullptr) {
-    // Its entry is gone from the store; the worker may live on all the same.
+    // The entry was removed from the store, but the worker may still be
+    // running.
     WorkerInfo unknown;
     unknown.incarnation = worker;
     WorkerSession* added = this->AddSession(unknown, inherited_until);
@@ -91,7 +94,7 @@
   WorkerInfo info = known->info;
   info.incarnation = met;
   WorkerSession* next = this->BeginIncarnation(known, info, seen_in, lists);
-  // It may be of another kind, and have other room.
+  // The new incarnation may have other properties and another capacity.
   next->described = false;
   return next;
 }
@@ -113,7 +116,8 @@
                              {"former", Text(former->Incarnation())},
                              {"seen_in", seen_in},
                              {"runs", former->runs.size()}});
-  // Started without a sign that another life had taken the start.
+  // Runs that the new incarnation lists were started by it, although no
+  // response showed that.
   std::vector<std::pair<RunRef, SessionRun>> moved;
   const std::set<RunRef> taken =
       lists == nullptr ? std::set<RunRef>() : lists->ListedRuns();
@@ -131,8 +135,9 @@
   WorkerSession* next = this->AddSession(
       info, this->context->executor->Now() + MaxLeaseDuration());
   next->listed = listed;
-  // Orders for the former life may still arrive. Each start and each end that
-  // was told went after a write, so this is above what they carry.
+  // Orders for the former incarnation may still arrive. Every start order and
+  // every acknowledgement was preceded by a write, so this token is higher than
+  // theirs.
   next->token = this->context->writer->LatestRevision();
   for (const auto& [run, record] : moved) {
     this->context->runs->Move(next, run, record);
--- a/packages/jobs/src/incarnation_tracker.h
+++ b/packages/jobs/src/incarnation_tracker.h
@@ -8,40 +8,43 @@
 
 namespace mustardproxy::jobs {
 
-/// Recognises when a worker has started again under its id. A session belongs
-/// to one life: with a new life the former session ends, and with it all that
-/// was known of, promised to and placed on the worker.
+/// Detects that a worker has restarted under the same id. A session belongs to
+/// one incarnation: a new incarnation ends the former session, together with
+/// all its runs, leases and recorded state.
 class IncarnationTracker {
  public:
   explicit IncarnationTracker(OwnerContext* context);
 
-  /// Takes note of a worker's entry in the store.
-  /// @param inherited_until see WorkerSession; for a worker not known before
-  /// @return the session of the life that wrote it, or null if that life is
-  ///   over
+  /// Processes the entry of a worker in the store.
+  /// @param inherited_until see WorkerSession; used for a worker that is not
+  ///   known yet
+  /// @return the session of the incarnation that wrote the entry, or null if
+  ///   that incarnation has ended
   WorkerSession* NoteEntry(const WorkerInfo& info, Instant inherited_until);
-  /// Takes note of which life answered an order.
-  /// @param meant which life the order was sent to
-  /// @param asked when it was sent
-  /// @param lists of that answer, if it has any
-  /// @return the session of the life that answered, or null if that life is
-  ///   over
+  /// Processes which incarnation responded to an order.
+  /// @param meant incarnation that the order was sent to
+  /// @param asked when the order was sent
+  /// @param lists running and ended runs in the response, if it contains them
+  /// @return the session of the incarnation that responded, or null if that
+  ///   incarnation has ended
   WorkerSession* NoteAnswer(const WorkerIncarnation& meant, Instant asked,
                             const OrderResult& result, const HoldResult* lists);
-  /// Takes note that a former owner ordered a run from this life.
-  /// @param inherited_until see WorkerSession; for a worker not known before
-  /// @return the session of the latest life under that id
+  /// Processes a stored run that a previous owner ordered from this
+  /// incarnation.
+  /// @param inherited_until see WorkerSession; used for a worker that is not
+  ///   known yet
+  /// @return the session of the latest incarnation with that id
   WorkerSession* NoteStored(const WorkerIncarnation& worker,
                             Instant inherited_until);
 
  private:
   WorkerSession* AddSession(const WorkerInfo& info, Instant inherited_until);
-  /// Begins a life whose own entry has not been read.
+  /// Begins an incarnation whose entry in the store has not been read yet.
   WorkerSession* BeginUndescribedIncarnation(WorkerSession* known,
                                              const WorkerIncarnation& met,
                                              std::string_view seen_in,
                                              const HoldResult* lists);
-  /// @param lists of the new life, if known
+  /// @param lists running and ended runs of the new incarnation, if known
   WorkerSession* BeginIncarnation(WorkerSession* former, const WorkerInfo& info,
                                   std::string_view seen_in,
                                   const HoldResult* lists);
--- a/packages/jobs/src/job_json.cc
+++ b/packages/jobs/src/job_json.cc
@@ -12,12 +12,12 @@
 using Json = nlohmann::json;
 
 constexpr std::int64_t kMaxInt32 = std::numeric_limits<std::int32_t>::max();
-/// Amounts beyond would overflow when they are added up.
+/// Limit that prevents an overflow when amounts are added up.
 constexpr std::int64_t kMaxAmount = 1'000'000'000'000;
-/// Times of day in milliseconds reach further.
+/// Limit for Unix times in milliseconds.
 constexpr std::int64_t kMaxUnixMs = 1'000'000'000'000'000;
 
-/// Reads the fields of one object; remembers the first that is wrong.
+/// Reads the fields of one JSON object and keeps the first error.
 class FieldReader {
  public:
   FieldReader(const Json& object, std::string path)
@@ -112,7 +112,7 @@
   return step;
 }
 
-/// Problems of the whole name the fields as the caller wrote them.
+/// Replaces the field name of a problem by the name that the caller used.
 SpecProblem WithCallerFieldNames(SpecProblem problem,
                                  const JobFieldNames& names) {
   const std::string tasks = "].tasks";
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -19,7 +19,8 @@
   --step->open;
 }
 
-/// @return longest declared time from the start of `step` to the job's end
+/// @return the longest estimated time from the start of `step` to the end of
+///   the job
 Duration CriticalPathFrom(const JobSpec& spec, std::size_t step) {
   std::vector<Duration> longest(spec.steps.size(), Duration::zero());
   Duration most{0};
@@ -131,7 +132,7 @@
                                               Instant now) {
   std::vector<std::int32_t> indices;
   const Step& spec = entry.job.spec.steps[static_cast<std::size_t>(number)];
-  // A new run of a gang must not meet members of the old one.
+  // A new run of a gang must not overlap with members of the previous one.
   if (spec.gang && step.open > 0) return indices;
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
     const TaskEntry& task = step.tasks[i];
@@ -180,8 +181,8 @@
   JobEntry* entry = this->Find(run.task.step.job);
   TaskEntry* task = this->FindOpen(run);
   if (entry == nullptr) return {};
-  // An end that comes after the run was given up on still tells the truth if it
-  // is good and no newer run has begun.
+  // A success that is reported after the run was considered lost still counts,
+  // unless a newer run has begun.
   if (task == nullptr) {
     TaskEntry* known = this->FindTask(run.task);
     const bool late = known != nullptr && !known->done && !known->open &&
@@ -269,7 +270,7 @@
   const Step* spec = this->FindStep(run.task.step);
   const std::int32_t before = step->done;
   if (spec->gang) {
-    // The members end well together, so one such end stands for all.
+    // Gang members complete together, so the success of one stands for all.
     for (TaskEntry& member : step->tasks) MarkDone(step, &member);
   } else {
     MarkDone(step, this->FindTask(run.task));
@@ -308,7 +309,8 @@
     std::erase_if(entry->crashes, [&](const auto& one) {
       return one.first.step.occurrence == first->first;
     });
-    // Members of a gang whose end was told by another are still awaited.
+    // Gang members completed by the end of another member still have to report
+    // their own end.
     entry->occurrences.erase(first);
     ++entry->first_open;
   }
@@ -332,7 +334,8 @@
     task.checkpoint = checkpoint;
     return;
   }
-  // One member's value is good for all, and all must start with the same.
+  // The checkpoint of one member applies to the whole gang, and all members
+  // must start with the same one.
   for (TaskEntry& member : step->tasks) member.checkpoint = checkpoint;
 }
 
--- a/packages/jobs/src/job_table.h
+++ b/packages/jobs/src/job_table.h
@@ -21,40 +21,41 @@
 
 namespace mustardproxy::jobs {
 
-/// One task as its owner knows it.
+/// State of one task at the owner of its job.
 struct TaskEntry {
   bool done = false;
-  /// A run was ordered whose end is not known.
+  /// A run was ordered and is not known to have ended.
   bool open = false;
   std::int32_t failed_runs = 0;
-  /// Highest run that was ever ordered.
+  /// Highest run number that was ordered.
   RunNumber last_run = 0;
-  /// Highest run whose failure is counted.
+  /// Highest run number whose failure was counted.
   RunNumber counted_run = 0;
-  /// Where the open run is.
+  /// Worker of the open run.
   WorkerIncarnation worker;
-  /// Where it failed last; another worker is tried first.
+  /// Worker of the last failed run; other workers are tried first.
   WorkerId failed_at;
-  /// Where the next run resumes.
+  /// Checkpoint from which the next run resumes.
   std::string checkpoint;
-  /// Starts in a row that workers turned down.
+  /// Number of consecutive start orders that were rejected.
   std::int32_t refusals = 0;
-  /// No new run before.
+  /// Earliest time of the next run.
   Instant not_before;
 };
 
-/// One step of one occurrence.
+/// State of one step of one occurrence.
 struct StepEntry {
   std::vector<TaskEntry> tasks;
   std::int32_t done = 0;
   std::int32_t open = 0;
   std::int32_t failed_gang_runs = 0;
   RunNumber counted_gang_run = 0;
-  /// Earliest moment at which the gang's room was to be gathered so far.
+  /// Earliest time so far by which the resources of the gang were to be
+  /// collected.
   Instant gather_by = Instant::max();
-  /// No look before at whether the policy service should be asked.
+  /// Earliest time to check again whether to query the policy service.
   Instant ask_after;
-  /// No line in the log before about what it waits for.
+  /// Earliest time to log again what the step is waiting for.
   Instant report_after;
 
   [[nodiscard]] bool Done() const {
@@ -71,122 +72,123 @@
   std::vector<StepEntry> steps;
 };
 
-/// One job as its owner knows it.
+/// State of one job at its owner.
 struct JobEntry {
   Job job;
-  /// By step: the longest chain of declared run times from its start on.
+  /// For each step: the longest chain of estimated run times from its start to
+  /// the end of the job.
   std::vector<Duration> remaining_path;
   /// The longest of them, from the start of the job.
   Duration critical_path{0};
   JobState state = JobState::kQueued;
-  /// Why it failed, for callers.
+  /// Cause of the failure, for callers.
   std::string failure;
-  /// A worker has listed a run of it, or said that it started one.
+  /// A worker has listed a run of the job or confirmed a start.
   bool begun = false;
   /// Open occurrences by number.
   std::map<std::int32_t, OccurrenceEntry> occurrences;
-  /// Of the tasks under which workers were lost.
+  /// Lost workers by the task that they were running.
   std::map<TaskRef, CrashHistory> crashes;
-  /// Those before are done.
+  /// All earlier occurrences are done.
   std::int32_t first_open = 0;
-  /// Those before are open or done.
+  /// All earlier occurrences are open or done.
   std::int32_t next_to_open = 0;
-  /// When this owner learnt of it.
+  /// When this owner first read the job.
   Instant learned_at;
-  /// What callers are told: a final state only once it is stored.
+  /// State reported to callers; a final state is reported only after it is
+  /// stored.
   JobState published_state = JobState::kQueued;
-  /// Of its progress record; 0 if there is none.
+  /// Revision of the progress record; 0 if there is none.
   Revision progress_revision = 0;
-  /// Its key is known to be in the store. Before, it may be placed, but nothing
-  /// of it is started, shown or counted.
+  /// The job is known to be in the store. Before that, its tasks may be placed,
+  /// but none is started, reported or counted.
   bool stored = true;
-  /// Starts that wait for that.
+  /// Start actions that wait until the job is stored.
   std::vector<std::function<void()>> on_stored;
 };
 
-/// What an end changes.
+/// Effects of the end of a run.
 struct EndEffect {
-  /// It ended the open run of a task.
+  /// The end belongs to the open run of a task.
   bool matched = false;
-  /// The progress must be stored before the worker may forget the end.
+  /// The progress must be stored before the end is acknowledged to the worker.
   bool durable = false;
   /// The job became final.
   bool job_final = false;
-  /// Members of the same gang run are of no use any more.
+  /// The other members of the gang run are no longer useful.
   bool gang_over = false;
 };
 
-/// All jobs of a placement group: which tasks may start, run and have ended.
-/// Knows nothing of workers but their names, and of no clock.
+/// All jobs of a placement group and the state of their tasks. The table does
+/// not depend on a clock and refers to workers by their identity only.
 class JobTable {
  public:
-  /// @return the entry, new or old
+  /// @return the new or existing entry
   JobEntry* Add(Job job, Instant now);
   [[nodiscard]] JobEntry* Find(const JobId& id);
   [[nodiscard]] const JobEntry* Find(const JobId& id) const;
-  /// Forgets a final job.
+  /// Removes a final job.
   void Remove(const JobId& id);
 
   /// Opens the occurrences that are due.
-  /// @return true if there are new ones
+  /// @return true if at least one was opened
   static bool OpenDueOccurrences(JobEntry* entry, std::int64_t unix_ms);
-  /// @return time of day of the next occurrence, if any
+  /// @return Unix time of the next occurrence in milliseconds, if any
   [[nodiscard]] static std::optional<std::int64_t> NextDueMs(
       const JobEntry& entry);
 
-  /// @return true if all earlier steps are done
+  /// @return true if all steps that this step depends on are done
   [[nodiscard]] static bool Ready(const JobEntry& entry,
                                   const OccurrenceEntry& occurrence,
                                   std::int32_t step);
-  /// @return indices of tasks that may start now; for a gang all or none
+  /// @return indices of the tasks that may start now; for a gang all or none
   [[nodiscard]] static std::vector<std::int32_t> Startable(
       const JobEntry& entry, const StepEntry& step, std::int32_t number,
       Instant now);
 
-  /// Records that runs are about to be ordered; the members of a gang share
-  /// one number.
-  /// @param workers one for each of `tasks`
-  /// @return the runs, in that order
+  /// Registers runs that are about to be ordered; the members of a gang share
+  /// one run number.
+  /// @param workers the worker of each of `tasks`
+  /// @return the runs, in the order of `tasks`
   std::vector<RunRef> Begin(JobEntry* entry, const StepRef& step,
                             std::span<const std::int32_t> tasks,
                             std::span<const WorkerIncarnation> workers);
-  /// Takes back a run that was never started anywhere.
+  /// Withdraws a run that was never started anywhere.
   void Withdraw(const RunRef& run);
-  /// Takes in the end of a run.
+  /// Processes the end of a run.
   EndEffect End(const RunRef& run, RunEnd end, std::string_view checkpoint,
                 Instant now);
-  /// Records that a worker was lost under an open run, whose end is taken in
-  /// afterwards.
+  /// Records the loss of a worker with an open run. The end of the run is
+  /// processed separately afterwards.
   void NoteLoss(const RunRef& run, const WorkerLoss& loss);
-  /// Another life has answered in place of a worker that was silent.
-  /// @return the tasks under which it was lost
+  /// Confirms the loss of a worker after another incarnation responded.
+  /// @return the tasks for which the loss was recorded
   std::vector<TaskRef> ConfirmLoss(const WorkerIncarnation& worker);
-  /// A worker has answered: it is not lost, whatever it was taken for.
+  /// Removes the recorded losses of a worker that responded.
   void NoteAlive(const WorkerIncarnation& worker);
-  /// Workers went down together: of jobs that can't have caused it, their loss
-  /// counts little.
-  /// @return of how many tasks one did not count little before
+  /// Discounts the losses in an outage for all jobs that cannot have caused it.
+  /// @return the number of tasks whose losses changed
   std::size_t Discount(const Outage& outage);
-  /// An open run has turned out to be at a later life of its worker.
+  /// Records that an open run is on a later incarnation of its worker.
   void Relocate(const RunRef& run, const WorkerIncarnation& worker);
-  /// @return null if no worker was lost under the task
+  /// @return the lost workers of the task, or null if there are none
   [[nodiscard]] const CrashHistory* FindCrashes(const TaskRef& task) const;
-  /// A worker tells of a run of the job.
+  /// Records that a worker reported a run of the job.
   void NoteBegun(const JobId& id);
-  /// Notes progress of an open run.
+  /// Records a checkpoint of an open run.
   void NoteCheckpoint(const RunRef& run, std::string_view checkpoint);
-  /// Gives a job up that is not final.
+  /// Marks a job that is not final as failed.
   /// @param cause one sentence for callers
   void Fail(JobEntry* entry, std::string cause);
   /// @return true if it was not final before
   bool Cancel(JobEntry* entry);
 
-  /// @return the open run of a task, if `run` is it
+  /// @return the task if `run` is its open run, or null
   [[nodiscard]] TaskEntry* FindOpen(const RunRef& run);
   [[nodiscard]] TaskEntry* FindTask(const TaskRef& task);
   [[nodiscard]] const Step* FindStep(const StepRef& step) const;
 
-  /// Jobs that are not final, in the order in which they were learnt.
+  /// Jobs that are not final, in the order in which they were added.
   [[nodiscard]] const std::vector<JobEntry*>& Active() const {
     return this->active;
   }
@@ -194,12 +196,12 @@
   All() const {
     return this->jobs;
   }
-  /// Takes a job off the active ones until it is resumed.
+  /// Excludes a job from the active jobs until Reactivate is called.
   void Deactivate(JobEntry* entry);
   void Reactivate(JobEntry* entry);
-  /// Takes a job off the active ones after its state was set from a record.
+  /// Sets the state of a job; a final job stops being active.
   void SetState(JobEntry* entry, JobState state);
-  /// Makes the steps of an occurrence, if it has none.
+  /// Returns an occurrence, and creates its steps if it has none.
   static OccurrenceEntry* Open(JobEntry* entry, std::int32_t number);
 
  private:
--- a/packages/jobs/src/keys.h
+++ b/packages/jobs/src/keys.h
@@ -7,16 +7,16 @@
 #include "mustardproxy/core/ids.h"
 #include "mustardproxy/jobs/job.h"
 
-/// Names of all keys that this package writes to the store.
+/// Keys that this package writes to the store.
 ///
 ///     mustardproxy/cell/node/<process>   a live process, under its lease
-///     mustardproxy/cell/owner/<group>    the owner's process, under its lease;
+///     mustardproxy/cell/owner/<group>    the owning process, under its lease;
 ///                                        its revision is the fencing token
 ///     mustardproxy/intake/job/<id>       an accepted job that is not final
-///     mustardproxy/intake/cancel/<id>    it was cancelled
-///     mustardproxy/progress/<id>         how far it is; the owner's alone
-///     mustardproxy/ended/<id>            how it ended; takes the place of its
-///                                        job and progress, so that a new
+///     mustardproxy/intake/cancel/<id>    a request to cancel the job
+///     mustardproxy/progress/<id>         progress; written by the owner only
+///     mustardproxy/ended/<id>            final state; replaces the keys of the
+///                                        job and its progress, so that a new
 ///                                        owner reads active jobs only
 namespace mustardproxy::jobs::keys {
 
@@ -29,9 +29,8 @@
 inline constexpr std::string_view kProgress = "mustardproxy/progress/";
 inline constexpr std::string_view kEnded = "mustardproxy/ended/";
 
-/// The one placement group of today's sizes. With more workers than one process
-/// can serve, groups are sets of racks, and this becomes part of the keys
-/// above.
+/// The only placement group at present. If there are more workers than one
+/// process can serve, groups become sets of racks and part of the keys above.
 inline constexpr std::string_view kGroup = "all";
 
 [[nodiscard]] inline std::string Node(const ProcessId& process) {
--- a/packages/jobs/src/outage_detector.cc
+++ b/packages/jobs/src/outage_detector.cc
@@ -9,16 +9,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How far apart workers may fall silent that go down together: a hold that is
-/// not answered ends by its time-out.
+/// Maximum difference between the times at which workers of one outage stop
+/// responding: a hold without a response ends with its timeout.
 constexpr Duration kSpread = milliseconds(500);
-/// The same where the moments are known.
+/// The same if both times are exact.
 constexpr Duration kExactSpread = milliseconds(60);
-/// Longer than the time from a worker's silence to its loss, and that of the
-/// others that went with it.
+/// Must exceed the time from the first missing response of a worker to its
+/// loss, for all workers of one outage.
 constexpr Duration kLossRetention = seconds(30);
-/// One of so many workers, and so many at least, go down in an outage: more
-/// than tasks that are each started once take down at a moment.
+/// An outage affects at least one in six workers, and at least eight. This is
+/// more than tasks that are each started once can crash at the same time.
 constexpr std::size_t kWorkersPerOutage = 6;
 constexpr std::size_t kMinOutageWorkers = 8;
 
--- a/packages/jobs/src/outage_detector.h
+++ b/packages/jobs/src/outage_detector.h
@@ -14,48 +14,52 @@
 
 namespace mustardproxy::jobs {
 
-/// A worker that went down, or fell silent.
+/// A worker that was lost or stopped responding.
 struct DownWorker {
   WorkerIncarnation worker;
   Instant since;
-  /// A call to it broke at that moment; else it went some time before.
+  /// The time is exact because a connection to the worker broke at that moment.
+  /// Otherwise the worker went down some time before.
   bool exact = false;
-  /// Jobs of which it had runs.
+  /// Jobs that had runs on the worker.
   std::set<JobId> jobs;
-  /// It was kept for a suspicious task, which explains why it went.
+  /// The worker was reserved for a suspicious task, which explains the loss.
   bool quarantined = false;
 };
 
-/// Workers that went down at about the same moment.
+/// A set of workers that went down at about the same time.
 struct Outage {
   std::set<WorkerIncarnation> workers;
-  /// How many of them no suspicious task explains …
+  /// Number of the workers that were not reserved for a suspicious task.
   std::size_t unexplained = 0;
-  /// … and on how many of those each job had runs.
+  /// Number of those workers by job that had runs on them.
   std::unordered_map<JobId, std::size_t> workers_by_job;
-  /// So many besides those of a job tell that the job was not the cause.
+  /// If at least this many unexplained losses are on workers without runs of a
+  /// job, the job is not the cause.
   std::size_t min_unrelated_workers = 0;
 
-  /// @return true if more workers went down than the job can have taken down
+  /// @return true if the job cannot have caused the outage, because too many of
+  ///   the workers were not running it
   [[nodiscard]] bool RulesOutAsCause(const JobId& job) const;
 };
 
-/// Tells workers that went down together from those that went one by one. A
-/// task can take down the workers that run it and other tasks of its job; many
-/// more at the same moment have another cause.
+/// Distinguishes workers that went down together from individual losses. A task
+/// can crash the workers that run it or other tasks of its job; the loss of
+/// many more workers at the same time has another cause.
 class OutageDetector {
  public:
-  /// Takes note of a worker that was lost.
+  /// Records a lost worker.
   void Note(DownWorker lost);
-  /// @param silent workers that do not answer and are not lost yet
-  /// @param workers how many there are
-  /// @return all that went down with a worker, and itself
+  /// @param silent workers that do not respond but are not lost yet
+  /// @param workers total number of workers
+  /// @return all workers that went down at about the same time as `down`,
+  ///   including it
   [[nodiscard]] Outage FindOutage(const DownWorker& down,
                                   std::span<const DownWorker> silent,
                                   std::size_t workers) const;
 
  private:
-  /// In the order in which they were lost.
+  /// In the order in which they were recorded.
   std::deque<DownWorker> lost;
 };
 
--- a/packages/jobs/src/progress_writer.cc
+++ b/packages/jobs/src/progress_writer.cc
@@ -11,11 +11,11 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Entries of the longest row: a condition and a put, and for a final job two
-/// removals.
+/// Maximum number of transaction entries of one row: a condition and a put, and
+/// two removals for a final job.
 constexpr std::size_t kMaxEntriesPerRow = 4;
-/// Transactions under way at once: with the pause between two, enough to keep a
-/// slow store busy.
+/// Maximum number of transactions in flight. With the interval between writes,
+/// enough to keep a slow store busy.
 constexpr std::size_t kMaxInFlight = 10;
 
 StoreCondition OwnerCondition(FencingToken token) {
@@ -41,7 +41,8 @@
   if (entry.progress_revision != 0) transaction->removals.push_back(key);
 }
 
-/// @return time between two writes, so that they keep to their share
+/// @return the interval between writes that keeps this writer within its share
+///   of the store's rate
 Duration IntervalFor(std::int64_t store_writes_per_second) {
   const double rate =
       kProgressShareOfWrites * static_cast<double>(store_writes_per_second);
@@ -117,7 +118,7 @@
     const JobId id = this->order.front();
     this->order.pop_front();
     if (this->busy.contains(id)) {
-      // Its revision is known only once the row on its way is answered.
+      // The revision is known only after the row in flight is acknowledged.
       later.push_back(id);
       continue;
     }
@@ -125,7 +126,7 @@
     this->rows.erase(id);
     const JobEntry* entry = this->jobs->Find(id);
     if (entry == nullptr) {
-      // Forgotten meanwhile: there is nothing left to store.
+      // The job was removed in the meantime; there is nothing to store.
       for (auto& durable : waiters) this->executor->Post(std::move(durable));
       continue;
     }
@@ -180,8 +181,9 @@
     this->on_fenced();
     return;
   }
-  // A row has another revision than we know: a write of ours whose answer was
-  // lost has been done. Nobody else writes rows under our token.
+  // A row has an unexpected revision: an earlier write of this owner was
+  // applied, but its response was lost. Nobody else writes rows under this
+  // token.
   for (const SentRow& row : batch) {
     JobEntry* entry = this->jobs->Find(row.job);
     if (entry == nullptr) continue;
--- a/packages/jobs/src/progress_writer.h
+++ b/packages/jobs/src/progress_writer.h
@@ -18,41 +18,44 @@
 
 namespace mustardproxy::jobs {
 
-/// Writes the progress of jobs to the store, many jobs in one transaction, and
-/// several transactions at a time that share no job: a store whose answers take
-/// a third of a second must still take more than forty jobs a second.
+/// Writes the progress of jobs to the store. Many jobs share a transaction, and
+/// several transactions without common jobs are in flight at the same time, so
+/// that more than 40 jobs per second are possible even if the store takes a
+/// third of a second to respond.
 ///
-/// Failures guarded against:
-/// - A former owner's write arrives late. Each transaction names the revision
-///   of the owner's key, so it fails once there is a new owner.
-/// - The answer to a write is lost and the write is done seconds later, over a
-///   newer one. Each row names the revision that it replaces, so it fails.
+/// Failures:
+/// - A write of a previous owner arrives late. Each transaction requires the
+///   revision of the owner's key and fails once there is a new owner.
+/// - The response to a write is lost, and the write is applied seconds later,
+///   after a newer one. Each row requires the revision that it replaces and
+///   fails then.
 class ProgressWriter {
  public:
-  /// What a writer works with; all but the figures outlive it.
+  /// Dependencies and settings; all pointers must outlive the writer.
   struct Parts {
     Executor* executor = nullptr;
     KeyValueStore* store = nullptr;
     EventLog* log = nullptr;
     JobTable* jobs = nullptr;
     FencingToken token = 0;
-    /// Writes a second that the store takes from all processes together.
+    /// Writes per second that the store accepts from all processes together.
     std::int64_t store_writes_per_second = 0;
   };
 
   /// @param on_fenced called once there is a newer owner
   ProgressWriter(const Parts& parts, std::function<void()> on_fenced);
 
-  /// Stores the job's progress as it stands when the write is sent; of a final
-  /// job only how it ended, in place of the job and its progress.
-  /// @param durable called once that is stored; may be empty
+  /// Stores the progress of the job as of the time at which the write is sent.
+  /// For a final job only the final state is stored; it replaces the job and
+  /// its progress.
+  /// @param durable called once the write is stored; may be empty
   void Write(const JobId& job, std::function<void()> durable);
-  /// @return true if the job's progress is not all stored
+  /// @return true if a write for the job is not stored yet
   [[nodiscard]] bool Pending(const JobId& job) const;
-  /// @return the store's revision after the last write that was answered; above
-  ///   the token, and below that of each later owner
+  /// @return the store revision of the last completed write; higher than the
+  ///   token of this owner and lower than that of any later owner
   [[nodiscard]] Revision LatestRevision() const { return this->latest; }
-  /// @return writes that wait or are on their way
+  /// @return the number of jobs whose writes are waiting or in flight
   [[nodiscard]] std::size_t Backlog() const {
     return this->rows.size() + this->busy.size();
   }
@@ -62,7 +65,7 @@
   struct SentRow {
     JobId job;
     Waiters waiters;
-    /// It tells how the job ended, and removes its progress.
+    /// The row holds the final state and removes the progress.
     bool final = false;
   };
   using Batch = std::vector<SentRow>;
@@ -83,10 +86,10 @@
   Revision latest;
   Duration interval;
   std::function<void()> on_fenced;
-  /// Jobs to be written, in order, and who waits for each.
+  /// Jobs to be written in order, and the callbacks waiting for each.
   std::deque<JobId> order;
   std::unordered_map<JobId, Waiters> rows;
-  /// Jobs whose rows are on their way.
+  /// Jobs whose rows are in flight.
   std::unordered_set<JobId> busy;
   std::size_t in_flight = 0;
   Instant next_write;
--- a/packages/jobs/src/record_codec.cc
+++ b/packages/jobs/src/record_codec.cc
@@ -182,7 +182,7 @@
   }
 }
 
-/// @return true if a run of the job has ended, or saved something
+/// @return true if a run of the job has ended or saved a checkpoint
 bool HasResults(const JobEntry& entry) {
   if (entry.first_open > 0) return true;
   const auto any = [](const StepEntry& step) {
@@ -286,8 +286,8 @@
       Apply(one.steps(static_cast<int>(i)), ref, entry, &occurrence->steps[i]);
     }
   }
-  // Progress is written before the first start leaves, so the state alone does
-  // not tell that anything has started.
+  // Progress is stored before the first start order is sent, so the state alone
+  // does not show whether anything has started.
   entry->begun = stored->begun() || HasResults(*entry);
   jobs->SetState(entry, static_cast<JobState>(stored->state()));
   entry->failure = stored->cause();
--- a/packages/jobs/src/record_codec.h
+++ b/packages/jobs/src/record_codec.h
@@ -9,10 +9,10 @@
 #include "job_table.h"
 #include "mustardproxy/jobs/job.h"
 
-/// What is kept in the store, as bytes.
+/// Encoding of the records in the store.
 namespace mustardproxy::jobs {
 
-/// A process of the cell as it registers in the store.
+/// Registration of a process of the cell in the store.
 struct NodeRecord {
   ProcessId name;
   DataCenterId data_center;
@@ -26,18 +26,21 @@
 };
 
 [[nodiscard]] std::string EncodeJob(const Job& job);
-/// @return nothing if the bytes can't be understood
+/// @return the job, or `std::nullopt` if the bytes are not a valid record
 [[nodiscard]] std::optional<Job> DecodeJob(std::string_view bytes);
 
-/// How far a job that is not final has come: what must survive its owner.
+/// Encodes the progress of a job that is not final, as needed by the next
+/// owner.
 [[nodiscard]] std::string EncodeProgress(const JobEntry& entry);
-/// Brings a fresh entry to the state of the record.
-/// @return false if the bytes can't be understood; the entry is unchanged
+/// Applies a progress record to a newly created entry.
+/// @return false if the bytes are not a valid record; the entry is unchanged
+///   then
 [[nodiscard]] bool ApplyProgress(JobTable* jobs, JobEntry* entry,
                                  std::string_view bytes);
-/// How a job ended.
+/// Encodes the final state of a job.
 [[nodiscard]] std::string EncodeEnd(const JobStatus& status);
-/// @return what callers are told, of a job's progress or end
+/// @return the state of the job reported to callers, from a record of its
+///   progress or final state
 [[nodiscard]] std::optional<JobStatus> DecodeStatus(std::string_view bytes);
 
 [[nodiscard]] std::string EncodeNode(const NodeRecord& node);
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -16,17 +16,17 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Bounds the pause after starts that were turned down.
+/// Limits the exponential backoff after rejected start orders.
 constexpr std::int32_t kMaxBackoffDoublings = 5;
-/// The least time from a worker's crash to its next life: what was sent later
-/// never reached the life that crashed.
+/// Minimum time between a crash of a worker and its next incarnation. Orders
+/// sent after the crash never reached the incarnation that crashed.
 constexpr Duration kMinRestartTime = milliseconds(500);
 
-/// A worker that has answered so shortly before was there: longer than a hold
-/// waits.
+/// A worker that responded within this time counts as reachable; longer than a
+/// hold waits.
 constexpr Duration kRecentAnswerWindow = milliseconds(2000);
 
-/// @return true if the answer proves that this order started nothing
+/// @return true if the response proves that this order started nothing
 bool ProvesNotStarted(OrderOutcome end) {
   return end == OrderOutcome::kLeaseExpired || end == OrderOutcome::kNoRoom ||
          end == OrderOutcome::kNoTicket || end == OrderOutcome::kInvalid ||
@@ -76,10 +76,12 @@
   for (std::size_t i = 0; i < runs.size(); ++i) {
     WorkerSession* session = this->context->workers.Find(workers[i]);
     session->AddRun(runs[i], record);
-    // Reserved room may be taken for seconds before its starts are sent.
+    // Resources of a reservation may be held for seconds before the start
+    // orders are sent.
     if (reserves) continue;
     this->QuarantineIfSuspicious(session, runs[i]);
-    // An idle worker is not asked otherwise, and may be gone already.
+    // An idle worker receives no holds otherwise and may have stopped
+    // unnoticed.
     if (session->Quarantined()) this->context->holds->SendIfDue(session);
   }
   this->context->log->Write(
@@ -91,9 +93,9 @@
        {"worker", Text(workers.front())},
        {"version", this->context->desired->version},
        {"waited_ms", WholeMilliseconds(now - entry.learned_at)}});
-  // Failure: the owner dies right after a start, and its successor starts the
-  // task elsewhere. The run and its worker are stored first, so the successor
-  // knows where to look before it starts the task again.
+  // Failure: the owner crashes right after a start order, and its successor
+  // starts the task elsewhere. The run and its worker are stored first, so that
+  // the successor asks that worker before it starts the task again.
   std::vector<WorkerIncarnation> places(workers.begin(), workers.end());
   std::function<void()> send;
   if (reserves) {
@@ -190,8 +192,9 @@
   if (record->phase == RunPhase::kStarted) return;
   if (!this->context->MayAct()) return;
   const bool first = record->phase == RunPhase::kPlanned;
-  // Failure: the store is away while a run is written down, the worker shrinks
-  // or drains meanwhile, and the start leaves before that is known.
+  // Failure: the store is unavailable while a run is being stored, the worker
+  // shrinks or drains meanwhile, and the start order is sent before the owner
+  // knows of that.
   if (first && !this->context->worker_view_fresh()) {
     this->RunAfter(kOrderRetryDelay,
                    [this, worker, run] { this->SendStart(worker, run); });
@@ -212,7 +215,7 @@
     return;
   }
   const Instant now = this->context->executor->Now();
-  // A silent worker's lease is not put off, see HoldLoop.
+  // The lease of a worker that does not respond is not extended, see HoldLoop.
   order.lease_until_ms = session->suspect
                              ? session->LeaseSentMs()
                              : session->LeaseUntilMs(now, kWorkerLease);
@@ -282,7 +285,8 @@
   }
   if (result.end == OrderOutcome::kDone ||
       result.end == OrderOutcome::kOldRun) {
-    // "Old" after a lost answer: the run is, or was, there. The lists tell.
+    // `kOldRun` after a lost response means that the run is or was on the
+    // worker; the next hold shows which.
     record->phase = RunPhase::kStarted;
     record->expected_listed_from = this->context->executor->Now();
     this->context->jobs.NoteBegun(run.task.step.job);
@@ -292,8 +296,8 @@
   } else if (first && ProvesNotStarted(result.end)) {
     this->OnRefused(session, run, result.end);
   } else if (ProvesNotStarted(result.end)) {
-    // Failure: an earlier copy of this start got no answer and may still be
-    // carried out. Stopped by name, it is refused then.
+    // Failure: an earlier copy of this start order got no response and may
+    // still be carried out. After the stop order the worker rejects it.
     this->Stop(session, run);
     this->StopGang(run);
   } else if (!record->stopping) {
@@ -308,8 +312,8 @@
   this->WithdrawUnstarted(session, run);
   const Instant now = this->context->executor->Now();
   if (task != nullptr) {
-    // Failure: every worker turns the start down, and it is sent again as fast
-    // as they answer.
+    // Failure: every worker rejects the start order, and it is repeated as fast
+    // as they respond.
     const std::int32_t doublings =
         std::min(task->refusals++, kMaxBackoffDoublings);
     task->not_before = now + kTaskRetryDelay * (1 << doublings);
@@ -335,8 +339,8 @@
 void RunControl::StopGang(const RunRef& member) {
   const Step* step = this->context->jobs.FindStep(member.task.step);
   if (step == nullptr || !step->gang) return;
-  // Failure: one member of a gang can't start or has ended, and the others hold
-  // room until the worker gives up waiting for it.
+  // Failure: one member of a gang cannot start or has ended, and the others
+  // occupy resources until their workers stop waiting for it.
   for (std::int32_t i = 0; i < step->tasks; ++i) {
     const RunRef other{{member.task.step, i}, member.run};
     const TaskEntry* task = this->context->jobs.FindOpen(other);
@@ -444,9 +448,9 @@
                              {"counted", effect.matched ? 1 : 0}});
   if (effect.gang_over) this->StopGang(run);
   if (effect.job_final) this->StoreFinal(entry);
-  // Failure: a gang's members end well together, the first end is being stored
-  // and the worker is told to forget another one; the owner dies before the
-  // write, and its successor finds no end there and runs the gang again.
+  // Failure: all members of a gang complete, the first end is being stored, and
+  // a worker is told that it may forget another one. The owner crashes before
+  // the write is done, and its successor finds no end and runs the gang again.
   const bool tells = end == RunEnd::kDone || end == RunEnd::kFailed;
   const bool waits =
       effect.durable ||
@@ -479,7 +483,7 @@
 void RunControl::StoreFinal(JobEntry* entry) {
   const JobId id = entry->job.id;
   if (entry->state == JobState::kCompleted) {
-    // What is left of it has ended; its ends are still to be listed.
+    // All tasks are complete; the remaining ends only need to be listed.
     this->context->advice->ForgetJob(id);
   } else {
     this->StopJob(*entry);
@@ -492,7 +496,7 @@
                                {"state", Name(stored->state)},
                                {"cause", stored->failure},
                                {"token", this->context->token}});
-    // From here on only its state is of use.
+    // Only the final state is needed from now on.
     this->context->ended->Note(id, {stored->state, stored->failure});
     this->context->jobs.Remove(id);
   }));
@@ -593,8 +597,8 @@
   if (record == nullptr || cause == LossCause::kOtherIncarnation) return false;
   if (cause == LossCause::kRestarted) return record->MayStartLate();
   if (record->blocked) return true;
-  // Failure: a worker that can't be reached has started again, and carries out
-  // a start that its former life left unanswered.
+  // Failure: a worker that is unreachable has restarted, and carries out a
+  // start order that its former incarnation left unanswered.
   const Instant now = this->context->executor->Now();
   const bool restarts = session->Incarnation().start_unix_ms != 0;
   const bool unanswered = record->order_in_flight || record->start_unanswered;
@@ -610,17 +614,18 @@
 
 void RunControl::NoteLoss(const WorkerSession& session, const RunRef& run,
                           const SessionRun& record, LossCause cause) {
-  // What was never sent took nothing down, and a worker that drains ends by
-  // itself.
+  // A run whose start order was never sent cannot have caused the loss, and a
+  // draining worker stops on its own.
   if (record.phase == RunPhase::kPlanned || session.HasLeft()) return;
-  // Its loss was counted with the life that it was meant for.
+  // The loss was recorded for the incarnation that the start order was sent to.
   if (record.blocked) return;
   const Instant now = this->context->executor->Now();
   const bool certain = cause != LossCause::kLeaseLapsed;
   const bool ordered_after_crash = certain && record.ordered_at &&
                                    now - *record.ordered_at < kMinRestartTime;
   if (ordered_after_crash) return;
-  // Of a worker that was silent before it is not known that the start arrived.
+  // If the worker had already stopped responding, it is unknown whether the
+  // start order arrived.
   const bool was_there =
       record.ordered_at &&
       session.LastAnswer() + kRecentAnswerWindow >= *record.ordered_at;
@@ -644,7 +649,7 @@
     }
     return down;
   };
-  // Of one that never answered it is not known when it went.
+  // If a worker never responded, it is unknown when it went down.
   const auto went_down = [](const WorkerSession& session) {
     return session.LastAnswer() != Instant() && !session.HasLeft();
   };
--- a/packages/jobs/src/run_control.h
+++ b/packages/jobs/src/run_control.h
@@ -12,113 +12,119 @@
 
 namespace mustardproxy::jobs {
 
-/// Why all that ran on a worker has ended.
+/// Why all runs on a worker have ended.
 enum class LossCause {
-  /// Another life of the worker answers at its address.
+  /// Another incarnation of the worker responds at its address.
   kOtherIncarnation,
-  /// Its lease has lapsed by any clock.
+  /// The lease has expired, whatever the rate of the worker's clock.
   kLeaseLapsed,
-  /// It has started again under its id.
+  /// The worker has restarted under the same id.
   kRestarted,
 };
 
-/// Orders runs and stops them, and draws the consequences of their ends.
+/// Orders workers to start and stop runs, and processes the ends of runs.
 ///
-/// An order without an answer is sent again for the same run, which a worker
-/// does once. A run that is not wanted any more is stopped by name, which the
-/// worker remembers, so that a start which arrives late is refused. Room is
-/// given back only when the end is known.
+/// An order without a response is repeated for the same run number, which a
+/// worker carries out only once. A run that is no longer wanted is stopped by
+/// its run number. The worker remembers that number and rejects a start that
+/// arrives later. Resources are released only when the run is known to have
+/// ended.
 class RunControl {
  public:
   explicit RunControl(OwnerContext* context);
 
-  /// Enters runs that were just placed, and starts them once they are stored.
-  /// @param runs of one step; they have been begun in the job table
+  /// Registers runs that were just placed, and starts them once they are
+  /// stored.
+  /// @param runs runs of one step that were begun in the job table
   void Begin(const JobEntry& entry, const std::vector<RunRef>& runs,
              std::span<const WorkerIncarnation> workers);
-  /// Enters a run that a former owner ordered.
+  /// Registers a run that was ordered by a previous owner.
   void Inherit(const RunRef& run, const WorkerIncarnation& worker,
                Instant inherited_until);
-  /// Has a run stopped that is not wanted any more.
+  /// Stops a run that is no longer wanted.
   void Stop(WorkerSession* session, const RunRef& run);
-  /// Takes back runs that were not sent yet and do not fit into what the worker
-  /// has now.
+  /// Withdraws runs that were not sent yet and exceed the current capacity of
+  /// the worker.
   void WithdrawPlanned(WorkerSession* session);
-  /// Has all runs of a job stopped.
+  /// Stops all runs of a job.
   void StopJob(const JobEntry& entry);
-  /// Draws the consequences of a run's end.
-  /// @param durable called once the end is stored; not called, and false
-  ///   returned, if there is nothing to store
+  /// Processes the end of a run.
+  /// @param durable called once the end is stored, if there is anything to
+  ///   store
+  /// @return false if there is nothing to store; `durable` is not called then
   bool End(WorkerSession* session, const RunRef& run, RunEnd end,
            std::string_view checkpoint, std::function<void()> durable);
-  /// All that ran there has ended for certain. Of a worker that has started
-  /// again, runs whose starts may yet arrive at its next life are left; see
-  /// BlockStart.
+  /// Ends all runs of a worker that is certain to have stopped them. If the
+  /// worker has restarted, runs whose start orders may still reach the new
+  /// incarnation are kept; see BlockStart.
   void HandleWorkerLoss(WorkerSession* session, LossCause cause);
-  /// Keeps a start that was meant for a former life from being carried out. Its
-  /// task starts elsewhere only once the worker has acknowledged that.
+  /// Prevents a start order for a former incarnation from being carried out.
+  /// The task is started elsewhere only after the worker has acknowledged this.
   void BlockStart(WorkerSession* session, const RunRef& run,
                   const SessionRun& former);
-  /// Enters a run that the worker has taken in after a restart.
+  /// Registers a run that the new incarnation of a worker has started.
   void Move(WorkerSession* session, const RunRef& run, SessionRun record);
-  /// Gives up on a silent worker's acknowledgements of that.
+  /// Ends the blocked runs of a worker that does not respond, once their start
+  /// orders can no longer arrive.
   void ReleaseBlocked(WorkerSession* session);
-  /// Takes note of what any answer of a worker tells.
+  /// Processes the response to any order.
   /// @param asked when the order was sent
-  /// @return its session, or null if it tells that the order was for nothing
-  /// @param lists of that answer, if it has any
+  /// @param lists running and ended runs in the response, if it contains them
+  /// @return the session of the worker, or null if the response makes the order
+  ///   obsolete
   WorkerSession* NoteAnswer(const WorkerIncarnation& worker, Instant asked,
                             const OrderResult& result,
                             const HoldResult* lists = nullptr);
-  /// The job became final or was changed otherwise; stores that.
+  /// Stores the final state of a job.
   void StoreFinal(JobEntry* entry);
-  /// Sends a start that is written down.
+  /// Sends the start order of a run that is stored.
   void SendStart(const WorkerIncarnation& worker, const RunRef& run);
-  /// Has all members of a gang's run stopped.
+  /// Stops all members of a gang run.
   void StopGang(const RunRef& member);
 
  private:
-  /// Sends starts that are written down, as soon as their job is stored too.
+  /// Calls `start` as soon as the job itself is stored.
   void StartOnceStored(const JobId& job, std::function<void()> start);
   bool FillOrder(const WorkerSession& session, const RunRef& run,
                  StartOrder* order);
   void OnStart(const WorkerIncarnation& worker, const RunRef& run, bool first,
                Instant asked, const OrderResult& result);
-  /// A worker has turned the start down.
+  /// Handles a start order that a worker rejected.
   void OnRefused(WorkerSession* session, const RunRef& run, OrderOutcome why);
-  /// Takes a run back that was not started anywhere.
+  /// Withdraws a run that was not started anywhere.
   void WithdrawUnstarted(WorkerSession* session, const RunRef& run);
   void SendStop(const WorkerIncarnation& worker, const RunRef& run);
   void OnStop(const WorkerIncarnation& worker, const RunRef& run, Instant asked,
               const OrderResult& result);
   void NoteOutcome(const WorkerSession& session, const SessionRun& record,
                    const RunRef& run, RunEnd end);
-  /// Keeps other tasks away from a run that may take its worker down.
+  /// Keeps other tasks off the worker of a run that may crash it.
   void QuarantineIfSuspicious(WorkerSession* session, const RunRef& run);
-  /// @return true if a lost run may still start there, and is kept from it
+  /// @return true if a lost run may still start on the worker and is now
+  ///   blocked
   bool BlockIfMayStart(WorkerSession* session, const RunRef& run,
                        LossCause cause);
-  /// Counts a lost worker against the task of one of its runs.
+  /// Records the loss of a worker for the task of one of its runs.
   void NoteLoss(const WorkerSession& session, const RunRef& run,
                 const SessionRun& record, LossCause cause);
-  /// Takes note of a lost worker.
-  /// @return what went down at about the same moment
+  /// Records the loss of a worker.
+  /// @return the workers that went down at about the same time
   Outage NoteOutage(const WorkerSession& lost);
-  /// Has losses count little that came with many others.
+  /// Discounts the losses of workers that went down in an outage.
   void Discount(const Outage& outage);
   void GiveUpIfUnsafe(const TaskRef& task);
   [[nodiscard]] std::size_t MaxLostWorkers() const {
     return static_cast<std::size_t>(this->context->max_lost_workers);
   }
-  /// Fails the job of a task that takes its workers down.
+  /// Fails the job of a task that crashes its workers.
   void GiveUp(const TaskRef& task);
-  /// See End; gives nothing up.
+  /// Like End, but never fails the job because of lost workers.
   bool ApplyRunEnd(WorkerSession* session, const RunRef& run, RunEnd end,
                    std::string_view checkpoint, std::function<void()> durable);
-  /// Tells what was known of a run whose worker is lost.
+  /// Logs what is known of a run whose worker is lost.
   void LogLostRun(const WorkerSession& session, const RunRef& run,
                   const SessionRun& record, LossCause cause);
-  /// @return false if another member of the gang's run has ended
+  /// @return false if another member of the gang run has ended
   [[nodiscard]] bool IsGangRunIntact(const RunRef& member);
   void RunAfter(Duration delay, std::function<void()> task);
 
--- a/packages/jobs/src/run_times.cc
+++ b/packages/jobs/src/run_times.cc
@@ -5,9 +5,11 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Weight of one run: the last twenty or so count.
+/// Weight of one run in the moving average, which covers about the last twenty
+/// runs.
 constexpr double kWeight = 0.05;
-/// Ratios beyond are those of a hanging worker or a task that failed at once.
+/// Ratios outside of these bounds come from a worker that hangs or a task that
+/// failed immediately.
 constexpr double kMinRatio = 0.1;
 constexpr double kMaxRatio = 10.0;
 
--- a/packages/jobs/src/run_times.h
+++ b/packages/jobs/src/run_times.h
@@ -8,12 +8,13 @@
 
 namespace mustardproxy::jobs {
 
-/// Learns how long runs take from those that ended. Callers' estimates are off
-/// by up to nine tenths either way, so they only tell long from short.
+/// Predicts run times from those of completed runs. The estimates of callers
+/// are off by up to 90 % in both directions and only distinguish long runs from
+/// short ones.
 class RunTimes {
  public:
   void Learn(const QueueName& queue, Duration estimate, Duration actual);
-  /// @return what a run with this estimate should take
+  /// @return the predicted run time for this estimate
   [[nodiscard]] Duration PredictRunTime(const QueueName& queue,
                                         Duration estimate) const;
 
--- a/packages/jobs/src/stored_progress.cc
+++ b/packages/jobs/src/stored_progress.cc
@@ -66,7 +66,7 @@
   this->parts.store->Commit(
       std::move(transaction),
       this->guard.Wrap([this, id](const CommitResult& result) {
-        // What is left is read by the next owner, which tries again.
+        // The next owner reads a record that remains and removes it again.
         this->parts.log->Write(
             "jobs", "progress-removed",
             {{"job", id.Text()},
--- a/packages/jobs/src/stored_progress.h
+++ b/packages/jobs/src/stored_progress.h
@@ -16,17 +16,17 @@
 
 namespace mustardproxy::jobs {
 
-/// The progress of jobs that former owners have stored, from its reading at a
-/// takeover until each job has taken up its own.
+/// Progress records of previous owners, from the time they are read at a
+/// takeover until the corresponding job claims its record.
 ///
-/// Some of it belongs to jobs that are not in the store: they were placed while
-/// they were being stored. Such a job may still appear. Failure guarded
-/// against: the former owner starts it on a worker that does not obey the new
-/// one yet, and the new one, which learns of the job later, would start it
-/// again.
+/// Some records belong to jobs that are not in the store, because they were
+/// placed while the job was still being stored. Such a job may still appear.
+/// Failure: the previous owner starts such a job on a worker that has not
+/// accepted the new owner's token yet, and the new owner, which reads the job
+/// later, starts it again.
 class StoredProgress {
  public:
-  /// What it works with; all outlive it.
+  /// Dependencies; all of them must outlive this object.
   struct Parts {
     Executor* executor = nullptr;
     KeyValueStore* store = nullptr;
@@ -34,17 +34,17 @@
     FencingToken token = 0;
   };
 
-  /// @param on_read called once all has been read
+  /// @param on_read called once all records are read
   StoredProgress(const Parts& parts, std::function<void()> on_read);
 
   void Read();
   [[nodiscard]] bool Complete() const { return this->complete; }
-  /// @return what is stored of a job; it is given out once
+  /// @return the stored progress of a job; each record is returned only once
   [[nodiscard]] std::optional<StoreItem> Claim(const JobId& id);
-  /// Removes progress from the store that no job has claimed for so long that
-  /// none will.
+  /// Removes records that no job has claimed within the retention time.
   void RemoveUnclaimed();
-  /// Removes a job's progress from the store, if it still has this revision.
+  /// Removes the progress of a job from the store if it still has this
+  /// revision.
   void Remove(const JobId& id, Revision revision);
 
  private:
@@ -56,7 +56,7 @@
   std::unordered_map<JobId, StoreItem> items;
   bool complete = false;
   Instant completed_at;
-  /// The last attempt to read has failed, and has been told of.
+  /// The last attempt to read failed and was logged.
   bool failing = false;
   CallbackGuard guard;
 };
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -14,8 +14,8 @@
 
 bool SessionRun::MayStartLate() const {
   if (this->phase == RunPhase::kPlanned) return false;
-  // A former owner's starts are not known, and an answer to a start does not
-  // tell which life gave it.
+  // The start orders of a previous owner are not known, and a response to a
+  // start order does not show which incarnation sent it.
   return !this->ordered_at || this->order_in_flight || this->start_unanswered ||
          !this->seen_running;
 }
@@ -43,9 +43,10 @@
   if (until_ms <= this->lease_sent_ms || !this->clock) return;
   this->lease_sent_ms = until_ms;
   // Failure: a task is started elsewhere while the worker, whose clock is slow,
-  // still runs it. The clock was read at some moment before the answer came, a
-  // waiting hold's at its very end; counted from the answer, at the slowest
-  // rate, the worker's clock has passed the lease's end by then.
+  // still runs it. The clock was read at some time before the response arrived;
+  // for a hold that waits, at the very end. Counted from the response at the
+  // slowest permitted rate, the worker's clock has passed the end of the lease
+  // by the computed time.
   const double left_ms = static_cast<double>(until_ms - this->clock->clock_ms) /
                          kSlowestWorkerClock;
   const Instant lapse = this->clock->answered +
@@ -94,7 +95,7 @@
   SessionRun* record = this->FindRun(run);
   if (record == nullptr) return;
   record->probation_period = probation_period;
-  // The run itself is one.
+  // The count includes the run itself.
   record->alone = this->CountUnproven() == 1;
   if (!std::exchange(record->quarantined, true)) ++this->quarantined;
 }
@@ -134,7 +135,7 @@
 Resources WorkerSession::ExpectedFreeAt(Instant now, Instant moment,
                                         Resources free) const {
   for (const auto& [run, record] : this->runs) {
-    // One that is overdue already may take any time.
+    // The remaining time of an overdue run is unknown.
     const bool ends =
         record.expected_end > now && record.expected_end <= moment;
     if (ends) free += record.resources;
--- a/packages/jobs/src/worker_session.h
+++ b/packages/jobs/src/worker_session.h
@@ -15,89 +15,93 @@
 
 namespace mustardproxy::jobs {
 
-/// Counts the sessions of one ownership from 0; what is kept for each worker is
-/// found by it in a vector.
+/// Number of a session, counted from 0 within one ownership. Indexes vectors
+/// with data for each worker.
 using SessionNumber = std::uint32_t;
 
-/// How far the order to start a run has come.
+/// Phase of starting a run.
 enum class RunPhase {
-  /// Room is taken; the start is being written down and was not sent.
+  /// Resources are reserved; the run is being stored and its start order was
+  /// not sent.
   kPlanned,
-  /// Sent, and not answered yet or not for certain.
+  /// The start order was sent; there is no conclusive response yet.
   kOrdered,
-  /// The worker has said that it is, or was, there.
+  /// The worker has confirmed that the run is or was there.
   kStarted,
 };
 
-/// A run that takes room on a worker, from its placement until its end is known
-/// for certain.
+/// A run that occupies resources on a worker, from its placement until it is
+/// known to have ended.
 struct SessionRun {
   Resources resources;
   RunPhase phase = RunPhase::kPlanned;
-  /// It is to be stopped.
+  /// The run is to be stopped.
   bool stopping = false;
-  /// It has been counted as lost, and is only kept from starting late.
+  /// The loss of the run is recorded; the entry only prevents a late start.
   bool blocked = false;
   /// The worker has acknowledged the stop.
   bool stop_acknowledged = false;
-  /// An order about it is on its way.
+  /// An order for the run is in flight.
   bool order_in_flight = false;
-  /// From here on a hold's answer that does not list it proves that it is gone;
-  /// not set while an order for it is on its way.
+  /// If a hold sent at or after this time does not list the run, the run has
+  /// ended. Not set while an order for the run is in flight.
   std::optional<Instant> expected_listed_from;
-  /// When an answer to a hold last listed it as running.
+  /// When the response to a hold last listed the run as running.
   std::optional<Instant> seen_running;
-  /// Workers have gone down under its task, and nothing else starts beside it
-  /// until it has been at work for `probation_period`.
+  /// Workers were lost while they ran the task; nothing else is started on this
+  /// worker until the run has been running for `probation_period`.
   bool quarantined = false;
   Duration probation_period{0};
-  /// All else on the worker was proven when it was quarantined.
+  /// All other runs on the worker had passed their probation when this run was
+  /// quarantined.
   bool alone = false;
   Instant started_at;
-  /// The worker has acknowledged the start, or has gone while it took it.
+  /// The worker has acknowledged the start order, or the connection broke while
+  /// it was being sent.
   bool reached = false;
-  /// When its first start was sent; nothing before, and for a run that a former
-  /// owner ordered.
+  /// When the first start order was sent. Not set before that, nor for a run
+  /// that a previous owner ordered.
   std::optional<Instant> ordered_at;
-  /// When its start was last sent.
+  /// When the start order was last sent.
   Instant start_sent;
-  /// One of the starts got no answer, and may still be carried out.
+  /// At least one of the start orders got no response and may still be carried
+  /// out.
   bool start_unanswered = false;
-  /// When it should end, by what its queue's runs took of their estimates.
+  /// Predicted end, based on the run times observed in its queue.
   Instant expected_end;
   std::int32_t percent = 0;
   /// When `percent` last changed.
   Instant last_progress_at;
 
-  /// @return how long it is known to have been at work
+  /// @return the time for which the run is known to have been running
   [[nodiscard]] Duration Survived() const;
-  /// @return true unless all starts of it were taken in by the life that they
-  ///   were meant for
+  /// @return true unless all start orders are known to have been processed by
+  ///   the incarnation that they were sent to
   [[nodiscard]] bool MayStartLate() const;
 };
 
-/// Ends of one answer of a worker.
+/// Ended runs from one response of a worker.
 struct EndBatch {
   std::int64_t last_number = 0;
-  /// Writes that are not stored yet.
+  /// Number of writes that are not stored yet.
   std::size_t open_writes = 0;
 };
 
-/// A worker's clock, read at some moment between two of ours.
+/// A reading of a worker's clock, taken between two times of the local clock.
 struct ClockReading {
   std::int64_t clock_ms = 0;
-  /// When the order was sent …
+  /// When the order was sent.
   Instant asked;
-  /// … and when its answer came.
+  /// When the response arrived.
   Instant answered;
 };
 
-/// One life of one worker as the owner sees it: what it holds, until when it
-/// may hold it, and what the owner may do there.
+/// One incarnation of a worker as seen by the owner: its runs, its lease and
+/// what the owner may do with it.
 class WorkerSession {
  public:
-  /// @param inherited_until runs that a former owner ordered may last until
-  ///   then, however unreachable the worker is
+  /// @param inherited_until runs ordered by a previous owner may continue until
+  ///   this time if the worker is unreachable
   WorkerSession(SessionNumber number, WorkerInfo info, Instant known_since,
                 Instant inherited_until);
 
@@ -105,94 +109,100 @@
   [[nodiscard]] const WorkerIncarnation& Incarnation() const {
     return this->info.incarnation;
   }
-  /// @return since when this life is known
+  /// @return the time since which this incarnation has been known
   [[nodiscard]] Instant KnownSince() const { return this->known_since; }
-  /// Takes note of when the life began, if that was not known.
+  /// Sets the start time of the incarnation if it was not known.
   void SetStartTimeIfUnknown(std::int64_t start_unix_ms);
 
-  /// @return a worker's time, on its clock, at which a lease given now ends
-  /// @param now sending time of the order
+  /// @param now time at which the order is sent
+  /// @return the end of a lease granted at `now`, in milliseconds on the
+  ///   worker's clock
   [[nodiscard]] std::int64_t LeaseUntilMs(Instant now, Duration lease) const;
-  /// @return the latest end of lease that was ever sent; an order that repeats
-  ///   it changes nothing about when the lease lapses
+  /// @return the latest lease end that was sent; an order that repeats it does
+  ///   not extend the lease
   [[nodiscard]] std::int64_t LeaseSentMs() const { return this->lease_sent_ms; }
-  /// Takes note that an order with this lease is being sent: the worker may
-  /// act on it at any time before the lease ends.
+  /// Records that an order with this lease is being sent. The worker may act on
+  /// it at any time until the lease ends.
   void NoteLeaseSent(std::int64_t until_ms);
   void NoteClock(ClockReading reading);
-  /// Takes note that an order was not answered.
-  /// @param exact its connection broke just now
-  /// @return true if it was not silent before
+  /// Records that an order got no response.
+  /// @param exact the connection broke at `now`
+  /// @return true if the worker was responsive before
   bool MarkSilent(Instant now, bool exact);
-  /// @return true if it drained and has most likely left, rather than crashed
+  /// @return true if the worker was draining and has probably stopped on its
+  ///   own rather than crashed
   [[nodiscard]] bool HasLeft() const;
-  /// @return when it last answered an order
+  /// @return when the worker last responded to an order
   [[nodiscard]] Instant LastAnswer() const;
-  /// @return when everything there must have been killed, if nothing more is
-  ///   sent
+  /// @return the time at which the worker must have killed all runs unless a
+  ///   lease is sent again
   [[nodiscard]] Instant LapsesAt() const { return this->lapses_at; }
 
   void AddRun(const RunRef& run, SessionRun record);
   void RemoveRun(const RunRef& run);
   [[nodiscard]] SessionRun* FindRun(const RunRef& run);
-  /// @return true if a start was sent of any run that is wanted and whose end
-  /// is
-  ///   not known
+  /// @return true if there is a run that was ordered, is not blocked and has no
+  ///   known end
   [[nodiscard]] bool HasOrdered() const;
-  /// @return how many runs have not been at work for long, and may yet take the
-  ///   worker down
+  /// @return the number of runs that have not been running long enough to be
+  ///   trusted not to crash the worker
   [[nodiscard]] std::size_t CountUnproven() const;
-  /// Keeps other tasks away until the run has been at work for this long.
+  /// Keeps other tasks off the worker until the run has been running for this
+  /// long.
   void Quarantine(const RunRef& run, Duration probation_period);
-  /// Lets other tasks start beside it again.
+  /// Ends the quarantine of the run.
   void EndQuarantine(const RunRef& run);
-  /// @return true while the worker is kept for a suspicious task
+  /// @return true while the worker is reserved for a suspicious task
   [[nodiscard]] bool Quarantined() const { return this->quarantined > 0; }
   [[nodiscard]] Resources Free() const;
-  /// @return true if what was placed takes more than the worker has now
+  /// @return true if the runs exceed the current capacity of the worker
   [[nodiscard]] bool Overcommitted() const;
-  /// @param free what is free now
-  /// @return that, and what runs take that should end by `moment`
+  /// @param free resources that are available now
+  /// @return `free` plus the resources of runs that are predicted to end by
+  ///   `moment`
   [[nodiscard]] Resources ExpectedFreeAt(Instant now, Instant moment,
                                          Resources free) const;
   [[nodiscard]] bool HasLabel(const std::string& label) const;
   [[nodiscard]] WorkerTarget Target() const;
 
   WorkerInfo info;
-  /// What orders to it carry. Orders for its former life carry a lower one.
+  /// Token of the orders to this incarnation. Orders to its former incarnation
+  /// carry a lower one.
   FencingToken token = 0;
-  /// Its entry is in the store.
+  /// The worker has an entry in the store.
   bool listed = true;
-  /// `info` is what this life says of itself. Until then nothing starts there.
+  /// `info` was reported by this incarnation. Nothing is started on the worker
+  /// before that.
   bool described = true;
-  /// It has obeyed our token, so that no order of a former owner is obeyed any
-  /// more, and what runs there is known.
+  /// The worker has accepted this owner's token: it no longer accepts orders of
+  /// previous owners, and its runs are known.
   bool fenced = false;
-  /// Another life of the worker has answered: this one is over.
+  /// Another incarnation of the worker has responded, so this one has ended.
   bool gone = false;
-  /// Its last hold or order was not answered.
+  /// The last hold or order got no response.
   bool suspect = false;
-  /// Since when; only while `suspect`.
+  /// When the worker stopped responding; valid while `suspect`.
   Instant silent_since;
-  /// A call to it broke at that moment; only while `suspect`.
+  /// A connection to the worker broke at that time; valid while `suspect`.
   bool silence_exact = false;
-  /// When it may be gone if all goes as it says; only while it drains.
+  /// Earliest announced stop of the worker; valid while it drains.
   Instant leaves_at;
-  /// It fails what it runs, and is left alone for a while.
+  /// Runs fail on this worker, and it is not used for a while.
   bool ejected = false;
-  /// Every run that was ordered by a former owner, as the store tells, is
-  /// entered here.
+  /// Runs on the worker, including all that were ordered by previous owners
+  /// according to the store.
   std::map<RunRef, SessionRun> runs;
 
-  /// Ends up to this number are dealt with for good; the next hold says so.
+  /// Ends up to this number are fully processed and stored; the next hold
+  /// acknowledges them.
   std::int64_t durable_end = 0;
-  /// The highest number that a hold has told the worker.
+  /// Highest end number that a hold has acknowledged to the worker.
   std::int64_t sent_acknowledged_end = 0;
-  /// Ends up to this number have been taken in.
+  /// Ends up to this number were received.
   std::int64_t received_end = 0;
-  /// Ends that were taken in and wait for writes, oldest first.
+  /// Received ends that wait for writes, oldest first.
   std::deque<std::shared_ptr<EndBatch>> unstored_ends;
-  /// When this life last answered a hold.
+  /// When this incarnation last responded to a hold.
   Instant verified;
   bool hold_in_flight = false;
   Instant hold_sent;
@@ -203,10 +213,10 @@
   SessionNumber number;
   Instant known_since;
   Resources used;
-  /// Runs that are quarantined.
+  /// Number of quarantined runs.
   std::size_t quarantined = 0;
   std::optional<ClockReading> clock;
-  /// Latest end of lease ever sent, on the worker's clock.
+  /// Latest lease end that was sent, in milliseconds on the worker's clock.
   std::int64_t lease_sent_ms = 0;
   Instant lapses_at;
 };
--- a/packages/jobs/src/worker_table.h
+++ b/packages/jobs/src/worker_table.h
@@ -9,22 +9,23 @@
 
 namespace mustardproxy::jobs {
 
-/// All workers that an owner knows, the latest life of each; in a fixed order,
-/// so that decisions repeat.
+/// All workers known to an owner, with the latest incarnation of each, in a
+/// fixed order so that decisions are reproducible.
 class WorkerTable {
  public:
   using Map = std::map<WorkerId, std::unique_ptr<WorkerSession>>;
 
-  /// Enters a life that is not known yet, in place of the one before under its
-  /// id; see WorkerSession.
+  /// Adds an incarnation that is not known yet and replaces the previous one
+  /// with the same id; see WorkerSession.
   WorkerSession* Add(const WorkerInfo& info, Instant known_since,
                      Instant inherited_until);
   void Remove(const WorkerId& id) { this->sessions.erase(id); }
-  /// @return the session, or null if that life is not known or over
+  /// @return the session of this incarnation, or null if it is unknown or was
+  ///   replaced
   [[nodiscard]] WorkerSession* Find(const WorkerIncarnation& worker) const;
-  /// @return the session of the latest life under an id, or null
+  /// @return the session of the latest incarnation with this id, or null
   [[nodiscard]] WorkerSession* FindLatest(const WorkerId& id) const;
-  /// @return above the number of each session
+  /// @return a number greater than that of any session
   [[nodiscard]] SessionNumber NumberLimit() const { return this->next; }
 
   [[nodiscard]] Map::const_iterator begin() const {
--- a/packages/jobs/src/write_gate.cc
+++ b/packages/jobs/src/write_gate.cc
@@ -7,15 +7,17 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// A write is overdue after this multiple of what answers take, and not before
-/// the least: 25 times the usual 4 ms of the users' store. Callers come seven
-/// times a second to a process, so one or two more writes are sent until then.
+/// A write is overdue after this multiple of the typical response time, but not
+/// before the minimum, which is 25 times the usual 4 ms of a store response. A
+/// process receives seven requests per second, so that one or two more writes
+/// are sent in the meantime.
 constexpr std::int64_t kOverdueFactor = 3;
 constexpr Duration kMinOverdueTime = milliseconds(100);
-/// Longest hold: the next renewal of the lease is sent within 0.3 s, and its
-/// answer tells that the store lives.
+/// Maximum time for which writes are held: the next renewal of the lease is
+/// sent within 0.3 s, and its response shows whether the store responds.
 constexpr Duration kMaxHoldTime = kStoreLeaseRenewal + milliseconds(100);
-/// Part of a shorter answer in what is taken for usual.
+/// A shorter response time lowers the typical one by this fraction of the
+/// difference.
 constexpr std::int64_t kLatencyDecayDivisor = 8;
 
 }  // namespace
@@ -50,8 +52,8 @@
   if (this->failed_at && *this->failed_at >= this->alive_at) {
     return this->failed_at;
   }
-  // Those sent before a call that was answered prove nothing: their answers are
-  // lost, and the store lives.
+  // Writes sent before an answered call are no evidence of an outage: only
+  // their responses were lost.
   const auto oldest = this->open.upper_bound(this->alive_at);
   if (oldest == this->open.end()) return std::nullopt;
   const Instant overdue = *oldest + this->OverdueAfter();
--- a/packages/jobs/src/write_gate.h
+++ b/packages/jobs/src/write_gate.h
@@ -8,51 +8,52 @@
 
 namespace mustardproxy::jobs {
 
-/// Tells whether a write to the store is worth sending now.
+/// Decides whether a write to the store should be sent now.
 ///
-/// Failure guarded against: the store falls silent, and each write sent to it
-/// ends uncertain. Its caller can't be told "not accepted", so it can't come
-/// back, although the job might have been accepted a second later. One such
-/// write can't be avoided; while it is without an answer the others wait
-/// unsent, and can truly be refused.
+/// Failure: the store stops responding, and every write that is sent to it has
+/// an unknown outcome. The caller cannot be told that its job was rejected,
+/// although the job might have been accepted a second later. One such write
+/// cannot be avoided; while it has no response, further writes are held back
+/// unsent and can still be rejected.
 class WriteGate {
  public:
   enum class Answer {
-    /// The store answers.
+    /// The store responds.
     kSend,
-    /// A write or two are overdue; an answer may come any moment.
+    /// A write is overdue; its response may still arrive.
     kHold,
-    /// Nothing has been heard for too long.
+    /// The store has not responded for too long.
     kRefuse,
   };
 
-  /// A write was sent.
+  /// Records that a write was sent.
   void OnSent(Instant sent);
-  /// The store has answered it, whatever it said.
+  /// Records the response to a write, whatever its outcome.
   void OnAnswered(Instant sent, Instant now);
-  /// It has ended without an answer.
+  /// Records that a write ended without a response.
   void OnUnanswered(Instant sent, Instant now);
-  /// The store has answered a call of another kind that was sent then.
+  /// Records a response to another kind of call that was sent at `sent`.
   void NoteAlive(Instant sent);
 
   [[nodiscard]] Answer At(Instant now) const;
-  /// @return what an answer to a write takes
+  /// @return the typical time from a write to its response
   [[nodiscard]] Duration TypicalLatency() const {
     return this->typical_latency;
   }
 
  private:
   [[nodiscard]] Duration OverdueAfter() const;
-  /// @return since when it is in doubt that the store answers
+  /// @return the time since which the store is considered unresponsive, if it
+  ///   is
   [[nodiscard]] std::optional<Instant> UnresponsiveSince(Instant now) const;
 
-  /// Writes without an answer, by when they were sent.
+  /// Send times of the writes without a response.
   std::multiset<Instant> open;
-  /// When the last call was sent that the store answered.
+  /// Latest send time of a call that was answered.
   Instant alive_at;
-  /// When the last write ended without an answer.
+  /// Time at which the last write ended without a response.
   std::optional<Instant> failed_at;
-  /// What an answer takes: at once more, and slowly less.
+  /// Response time of writes; rises at once and decays slowly.
   Duration typical_latency{0};
 };
 
