--- a/packages/jobs/tests/cell_crash_test.cc
+++ b/packages/jobs/tests/cell_crash_test.cc
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return a job that is shown as failed, whose tasks crash their workers
+/// @return a submitted job whose tasks crash their workers
 SimJob* SubmitCrashing(SimCell* cell, const Step& step,
                        const CrashingTasks& crashing) {
   SimJob* job = cell->Submit(MakeSpec({step}));
@@ -29,8 +29,8 @@
 
 BOOST_AUTO_TEST_SUITE(cell_crash)
 
-// Guards against a task that is started on one worker after the other, each of
-// which crashes.
+// Failure: a task that crashes its worker is started on one worker after the
+// other.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(1)), {});
@@ -43,7 +43,8 @@
   CheckInvariants(cell.get());
 }
 
-// The same for a crash some time after the worker has answered.
+// As above, but the task crashes its worker some time after the worker has
+// responded.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_later_is_given_up) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(5)),
@@ -53,7 +54,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against an owner that does not know what former owners have seen.
+// Failure: a new owner does not know the losses seen by previous owners.
 BOOST_AUTO_TEST_CASE(crashes_under_a_task_are_counted_over_changes_of_owner) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(1)), {});
@@ -71,7 +72,8 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against a moment at which a change of owner forgets what was seen.
+// Failure: if the owner is lost at an unfavourable time, its successor does not
+// know the recorded losses.
 BOOST_AUTO_TEST_CASE(an_owner_may_be_lost_at_any_moment_of_it) {
   constexpr milliseconds kStep(150);
   constexpr milliseconds kLast(15'000);
@@ -88,7 +90,8 @@
   }
 }
 
-// Guards against blaming tasks that merely run on a worker that crashes.
+// Failure: tasks that merely share a worker with a crashing task are blamed for
+// its loss.
 BOOST_AUTO_TEST_CASE(tasks_beside_crashing_ones_are_done) {
   const auto cell = SimCell::Builder().Workers(12).Build();
   std::vector<SimJob*> sound;
@@ -108,8 +111,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against a gang that is started anew whenever one member has taken its
-// worker down.
+// Failure: a gang is restarted each time one member has crashed its worker.
 BOOST_AUTO_TEST_CASE(a_gang_whose_member_crashes_its_worker_is_given_up) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   Step step = MakeStep(6, 6000, seconds(2));
@@ -120,19 +122,19 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against trying all tasks of a wide step at once when each of them
-// takes a worker down.
+// Failure: all tasks of a wide step are retried at once although each of them
+// crashes its worker.
 BOOST_AUTO_TEST_CASE(tasks_of_a_suspicious_step_are_tried_one_at_a_time) {
   constexpr std::int64_t kWorkers = 8;
   const auto cell = SimCell::Builder().Workers(kWorkers).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(24, 4000, seconds(1)), {});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(40)));
-  // Each worker once, and two more under the task that is tried.
+  // Each worker may be lost once, and two more while one task is retried.
   BOOST_TEST(cell->Judge().TaskCrashes() <= kWorkers + 2);
   CheckInvariants(cell.get());
 }
 
-// Guards against other tasks that go down with a suspicious one.
+// Failure: other tasks are lost together with a suspicious task.
 BOOST_AUTO_TEST_CASE(nothing_starts_beside_a_suspicious_task) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   SimJob* crashing = SubmitCrashing(cell.get(), MakeStep(1, 1000, seconds(9)),
@@ -151,7 +153,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against taking a worker that was only cut off for one that crashed.
+// Failure: a worker that was only partitioned is taken for one that crashed.
 BOOST_AUTO_TEST_CASE(a_worker_that_comes_back_clears_its_tasks) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 2000, seconds(40))}));
@@ -170,7 +172,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against a service that is given up because hosts fail in its life.
+// Failure: a long-running job is failed because hosts fail during its lifetime.
 BOOST_AUTO_TEST_CASE(a_service_outlives_the_failures_of_its_hosts) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   Step step = MakeStep(1, 2000, seconds(1000));
--- a/packages/jobs/tests/cell_ended_test.cc
+++ b/packages/jobs/tests/cell_ended_test.cc
@@ -22,7 +22,7 @@
     return this->cell->Submit(MakeSpec({MakeStep(1, 100, length)}));
   }
 
-  /// Has many short jobs done.
+  /// Runs many short jobs to completion.
   void RunMany(int jobs) {
     for (int i = 0; i < jobs; ++i) this->Submit(milliseconds(10));
     this->cell->Time().RunFor(seconds(30));
@@ -34,7 +34,7 @@
     return job;
   }
 
-  /// The owner dies; another process takes over.
+  /// Kills the owner and waits until another process has taken over.
   std::size_t ChangeOwner() {
     const std::size_t former = this->cell->OwnerIndex().value();
     this->cell->KillProcess(former);
@@ -43,7 +43,8 @@
     return this->cell->OwnerIndex().value();
   }
 
-  /// @return how long the newest owner has read before it went to work
+  /// @return the time that the latest owner took to read its state before it
+  ///   started to schedule
   Duration LastReading() {
     constexpr std::string_view kField = "took_ms=";
     for (auto line = this->cell->Log().Lines().rbegin();
@@ -63,9 +64,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(cell_ended, Fixture)
 
-// All hosts lose power on a day on which 1,200 jobs have ended, and the store
-// takes 0.25 s an answer. Nothing is placed while the next owner reads: jobs,
-// ended ones too, page after page, and then their progress, took 1.5 s.
+// All hosts lose power after 1,200 jobs have ended, and the store takes 0.25 s
+// to respond. Failure: the new owner reads all jobs, including final ones, page
+// by page and then their progress, and places nothing for 1.5 s.
 BOOST_AUTO_TEST_CASE(a_takeover_reads_active_jobs_only_and_all_at_once) {
   RunMany(1200);
   for (std::size_t i = 0; i < 3; ++i) cell->KillProcess(i);
@@ -79,8 +80,8 @@
   CheckInvariants(cell.get());
 }
 
-// A job has ended under a former owner, and its caller hands it in once more.
-// It is the same job: accepted, shown as completed, and not run again.
+// A caller resubmits a job that ended under a previous owner. It is accepted as
+// the same job, reported as completed and not run again.
 BOOST_AUTO_TEST_CASE(an_ended_job_that_is_handed_in_again_is_not_run_again) {
   SimJob* job = RunOne();
   const std::size_t owner = ChangeOwner();
@@ -97,8 +98,8 @@
   BOOST_TEST(cell->Judge().Runs() == 1);
 }
 
-// A process stands still between its write and the answer to it. When it wakes
-// the job has been done, the owner has changed, and it announces the job.
+// A process is paused between a write and its response. When it resumes and
+// announces the job, the job is done and the owner has changed.
 BOOST_AUTO_TEST_CASE(an_announcement_that_comes_late_runs_nothing) {
   SimJob* job = RunOne();
   const std::size_t owner = ChangeOwner();
@@ -109,7 +110,7 @@
   BOOST_TEST(cell->Judge().Runs() == 1);
 }
 
-// Callers ask for a job that ended under a former owner, at any process.
+// Callers query a job that ended under a previous owner, at any process.
 BOOST_AUTO_TEST_CASE(the_end_of_a_job_outlives_its_owner) {
   SimJob* job = RunOne();
   ChangeOwner();
@@ -118,8 +119,8 @@
   }
 }
 
-// The store holds a job that the version before has ended: its job is still
-// there, and its progress tells the end.
+// An earlier version stored the final state of a job as its progress and left
+// the key of the job in place.
 BOOST_AUTO_TEST_CASE(an_end_that_was_kept_as_progress_is_taken_up) {
   Job job;
   job.id = JobId("former");
@@ -137,7 +138,8 @@
   BOOST_TEST(cell->Judge().Runs() == 0);
 }
 
-// Final jobs are kept for as long as callers may ask, and then leave nothing.
+// The keys of a final job are kept for the retention time and removed
+// afterwards.
 BOOST_AUTO_TEST_CASE(nothing_is_left_of_a_job_after_its_retention) {
   SimJob* job = Submit(seconds(60));
   cell->Time().RunFor(seconds(1));
@@ -155,9 +157,9 @@
   BOOST_TEST(cell->Store().Get(keys::OfCancel(id)) == nullptr);
 }
 
-// A job that fills the worker is cancelled while the worker can't be reached,
-// and its owner dies. The next one finds tasks running there of which it knows
-// nothing; if it took their room for free, the worker would be overcommitted.
+// A job that fills the worker is cancelled while the worker is unreachable, and
+// its owner crashes. The next owner finds running tasks that it does not know.
+// Failure: it considers their resources free and overcommits the worker.
 BOOST_AUTO_TEST_CASE(room_of_unknown_runs_is_not_given_away) {
   cell = SimCell::Builder().Processes(3).Workers(1).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 4000, seconds(30))}));
--- a/packages/jobs/tests/cell_restart_test.cc
+++ b/packages/jobs/tests/cell_restart_test.cc
@@ -16,14 +16,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return a cell whose workers start again under their ids
+/// @return a cell whose workers keep their ids when they restart
 std::unique_ptr<SimCell> MakeCell(std::size_t workers) {
   auto cell = SimCell::Builder().Workers(workers).Build();
   cell->ReuseWorkerIds();
   return cell;
 }
 
-/// Ends some jobs, so that ends of each worker have been noted.
+/// Runs some jobs to completion, so that ends of each worker have been
+/// acknowledged.
 void RunSomeJobs(SimCell* cell) {
   constexpr int kJobs = 6;
   for (int i = 0; i < kJobs; ++i) {
@@ -48,7 +49,8 @@
 
 BOOST_AUTO_TEST_SUITE(cell_restart)
 
-// Guards against ends of a worker's new life that are taken for known ones.
+// Failure: the ends reported by a new incarnation are taken for ends that are
+// already known.
 BOOST_AUTO_TEST_CASE(ends_after_a_restart_under_the_same_id_are_read) {
   const auto cell = MakeCell(2);
   RunSomeJobs(cell.get());
@@ -61,8 +63,8 @@
   BOOST_TEST(cell->Judge().Runs() == 28);
 }
 
-// Guards against a worker that answers and is given up by the lease of its
-// former life.
+// Failure: a worker that responds is considered lost because the lease of its
+// former incarnation expires.
 BOOST_AUTO_TEST_CASE(a_restarted_worker_that_answers_is_not_lost_by_its_lease) {
   const auto cell = MakeCell(2);
   RunSomeJobs(cell.get());
@@ -80,7 +82,7 @@
   }
 }
 
-// Guards against sound jobs that are given up because their workers restart.
+// Failure: healthy jobs are failed because their workers restart.
 BOOST_AUTO_TEST_CASE(jobs_survive_restarts_again_and_again) {
   const auto cell = MakeCell(6);
   std::vector<const SimJob*> jobs;
@@ -103,7 +105,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against a bound on crashes that counts each id once.
+// Failure: the limit on lost workers counts each worker id only once.
 BOOST_AUTO_TEST_CASE(crashes_are_counted_over_restarts_under_one_id) {
   const auto cell = MakeCell(1);
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 2000, seconds(1))}));
@@ -113,8 +115,8 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against sound jobs that are given up, or kept waiting as suspicious,
-// after outages of many workers.
+// Failure: healthy jobs are failed, or delayed as suspicious, after outages of
+// many workers.
 BOOST_AUTO_TEST_CASE(sound_jobs_survive_outages_of_many_workers) {
   const auto cell = MakeCell(40);
   std::vector<const SimJob*> jobs;
@@ -137,8 +139,8 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against a start that the former life left unanswered and the new one
-// carries out while the task runs elsewhere.
+// Failure: a start order that the former incarnation left unanswered is carried
+// out by the new one while the task runs elsewhere.
 BOOST_AUTO_TEST_CASE(a_late_start_does_not_run_beside_a_newer_one) {
   constexpr milliseconds kStep(100);
   constexpr milliseconds kLast(2000);
@@ -156,7 +158,7 @@
   }
 }
 
-// Guards against a new owner that asks the new life about runs of the former.
+// Failure: a new owner asks the new incarnation about runs of the former one.
 BOOST_AUTO_TEST_CASE(a_restart_during_a_change_of_owner_loses_no_run) {
   constexpr milliseconds kStep(200);
   constexpr milliseconds kLast(3000);
@@ -178,8 +180,8 @@
   }
 }
 
-// Guards against permissions, and refusals, of a former life that count for the
-// new one.
+// Failure: permissions and rejections for a former incarnation are applied to
+// the new one.
 BOOST_AUTO_TEST_CASE(a_new_life_is_asked_about_anew) {
   auto cell =
       SimCell::Builder().Workers(8).Advice(0.5, milliseconds(60)).Build();
@@ -198,8 +200,8 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against a worker of another size that is given what fitted its former
-// life.
+// Failure: a worker that restarts with another capacity receives tasks that fit
+// its former incarnation.
 BOOST_AUTO_TEST_CASE(a_smaller_life_is_not_overcommitted) {
   const auto cell = MakeCell(3);
   cell->VaryCapacity(0.3);
@@ -215,7 +217,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against an entry that tells no birth and is not served any more.
+// Failure: workers whose entry has no start time are not used any more.
 BOOST_AUTO_TEST_CASE(workers_that_tell_no_birth_are_served) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->HideBirths();
--- a/packages/jobs/tests/cell_worker_test.cc
+++ b/packages/jobs/tests/cell_worker_test.cc
@@ -18,9 +18,9 @@
 
 BOOST_AUTO_TEST_SUITE(cell_worker)
 
-// A worker goes for good in the middle of its tasks. Each try to reach it used
-// to put off the moment at which its lease had lapsed for certain, and its
-// tasks never started elsewhere.
+// A worker is lost permanently while it runs tasks. Failure: each attempt to
+// reach it postpones the time at which its lease is certain to have expired,
+// and its tasks are never started elsewhere.
 BOOST_AUTO_TEST_CASE(tasks_of_a_worker_that_is_gone_start_elsewhere) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(8, 3000, seconds(3))}));
@@ -30,10 +30,10 @@
   CheckInvariants(cell.get());
 }
 
-// A worker has run nothing for a while, so its lease has lapsed. A task is
-// placed there, and while its start is being stored the worker was taken for
-// lost, and its other new tasks with it: each was placed again, a store call
-// later, at a worker that had to be fenced anew.
+// A worker has been idle, so its lease has expired, when a task is placed on
+// it. Failure: while the start is being stored the worker is considered lost
+// together with its other new tasks, and each is placed again, one store call
+// later, on a worker that must be fenced again.
 BOOST_AUTO_TEST_CASE(an_idle_worker_is_not_lost_while_a_start_is_stored) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   cell->Time().RunFor(seconds(30));
@@ -44,8 +44,9 @@
   CheckInvariants(cell.get());
 }
 
-// A worker crashes and comes back at once at the same address. Its next life
-// proves that the former one is over: nothing is waited for.
+// A worker crashes and restarts immediately at the same address. The new
+// incarnation proves that the former one has ended, so that its tasks need not
+// wait for the lease to expire.
 BOOST_AUTO_TEST_CASE(the_next_life_of_a_worker_ends_the_wait) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 3000, seconds(2))}));
@@ -56,9 +57,9 @@
   CheckInvariants(cell.get());
 }
 
-// A worker is cut off from everybody and runs on. Its tasks start elsewhere
-// only once its lease has lapsed by its own slow clock, and what it lists when
-// it is back changes nothing.
+// A worker is partitioned and keeps running. Its tasks are started elsewhere
+// only after its lease has expired by its own slow clock, and the runs that it
+// lists after the partition have no effect.
 BOOST_AUTO_TEST_CASE(a_worker_cut_off_runs_nothing_twice) {
   const auto cell = SimCell::Builder().Workers(3).Build();
   cell->Submit(MakeSpec({MakeStep(8, 3000, seconds(7))}));
@@ -70,8 +71,8 @@
   CheckInvariants(cell.get());
 }
 
-// A twentieth of the orders gets no answer and is carried out seconds later,
-// when the task may run elsewhere or be done.
+// 5 % of the orders get no response and are carried out seconds later, when the
+// task may be running elsewhere or be done.
 BOOST_AUTO_TEST_CASE(orders_that_are_carried_out_late_do_no_harm) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->Workers().late_orders = 0.05;
@@ -91,9 +92,9 @@
   CheckInvariants(cell.get());
 }
 
-// The members of a gang end well. The first end is being stored when the store
-// falls silent; the others must not be forgotten by their workers before, or
-// the next owner finds no end and runs the gang again.
+// All members of a gang complete, and the store stops responding while the
+// first end is being stored. Failure: the workers forget the other ends before
+// that, and the next owner finds no end and runs the gang again.
 BOOST_AUTO_TEST_CASE(ends_of_a_gang_are_kept_until_the_first_is_stored) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   JobSpec spec = MakeSpec({MakeStep(8, 6000, seconds(2))});
@@ -111,7 +112,7 @@
   CheckInvariants(cell.get());
 }
 
-// A task is stopped on its way and goes on elsewhere from its checkpoint.
+// A task is stopped while running and resumes elsewhere from its checkpoint.
 BOOST_AUTO_TEST_CASE(work_that_was_saved_is_not_done_again) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   JobSpec spec = MakeSpec({MakeStep(1, 3000, seconds(10))});
@@ -129,8 +130,9 @@
   BOOST_TEST((cell->Time().Now() - stopped < seconds(6)));
 }
 
-// Something else overwrites a worker's entry. Nothing is started there until
-// the worker writes it anew; the other workers get work all the while.
+// The entry of a worker is overwritten with invalid data. No task is started on
+// it until the worker writes its entry again; the other workers keep receiving
+// tasks.
 BOOST_AUTO_TEST_CASE(an_entry_that_is_broken_names_no_worker) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimWorker* broken = cell->Workers().Alive().front();
@@ -149,7 +151,7 @@
   CheckInvariants(cell.get());
 }
 
-// Guards against sending a start again as fast as it is turned down.
+// Failure: a start order is repeated as fast as it is rejected.
 BOOST_AUTO_TEST_CASE(a_start_that_is_turned_down_is_sent_ever_more_rarely) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   SimWorker* worker = cell->Workers().Find("w0");
--- a/packages/jobs/tests/crash_history_test.cc
+++ b/packages/jobs/tests/crash_history_test.cc
@@ -82,7 +82,7 @@
   BOOST_TEST(history.Unsafe(kMaxLosses));
 }
 
-// Guards against sound tasks that are given up after outages of many workers.
+// Failure: healthy tasks are failed after outages of many workers.
 BOOST_AUTO_TEST_CASE(runs_long_at_work_that_end_in_outages_do_not_count) {
   CrashHistory history;
   std::set<WorkerIncarnation> workers;
@@ -98,7 +98,8 @@
   BOOST_TEST(!history.AtLimit(3));
 }
 
-// Guards against a task that goes on because others crash at the same moments.
+// Failure: a task that crashes its workers is never failed because other
+// workers are lost at the same times.
 BOOST_AUTO_TEST_CASE(a_loss_at_the_start_is_discounted_once) {
   CrashHistory history;
   std::set<WorkerIncarnation> workers;
@@ -112,7 +113,7 @@
   BOOST_TEST(history.AtLimit(2));
 }
 
-// Guards against a life that is counted for the one before under its id.
+// Failure: an incarnation is mistaken for the previous one with the same id.
 BOOST_AUTO_TEST_CASE(each_life_under_one_id_counts) {
   CrashHistory history;
   for (std::int64_t born = 1; born <= 3; ++born) {
--- a/packages/jobs/tests/job_table_test.cc
+++ b/packages/jobs/tests/job_table_test.cc
@@ -99,7 +99,7 @@
   BOOST_TEST(runs[0].run == runs[2].run);
   BOOST_TEST(End(runs[0], RunEnd::kFailed).gang_over);
   const StepEntry& step = entry->occurrences.at(0).steps[0];
-  // Nobody of a new run may meet a member of the old one.
+  // A member of the new run must not overlap with one of the old run.
   BOOST_TEST(JobTable::Startable(*entry, step, 0, kLater).empty());
   End(runs[1], RunEnd::kGangMemberEnded);
   End(runs[2], RunEnd::kGangMemberEnded);
@@ -146,7 +146,7 @@
   const std::vector<WorkerIncarnation> worker{{WorkerId("w")}};
   const auto second = table.Begin(entry, {entry->job.id, 1, 0}, task, worker);
   End(second[0], RunEnd::kDone);
-  // The first one is still open, so the second one's end is kept.
+  // The first occurrence is still open, so the end of the second one is kept.
   BOOST_TEST(entry->first_open == 0);
   const auto first = table.Begin(entry, {entry->job.id, 0, 0}, task, worker);
   End(first[0], RunEnd::kDone);
@@ -161,7 +161,8 @@
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   table.Withdraw(runs[0]);
-  // Its number is used up all the same: a late copy of the order may exist.
+  // The run number is not reused, because a delayed copy of the order may
+  // exist.
   BOOST_TEST(Begin(entry, 0)[0].run == 2);
 }
 
--- a/packages/jobs/tests/outage_detector_test.cc
+++ b/packages/jobs/tests/outage_detector_test.cc
@@ -27,7 +27,8 @@
 }
 
 struct Fixture {
-  /// Notes that workers `first` to `last` went, each with a job of its own.
+  /// Records the loss of the workers `first` to `last`, each running a
+  /// different job.
   void Note(int first, int last, Instant since) {
     for (int i = first; i <= last; ++i) {
       this->detector.Note(Down(i, since, JobId(Numbered("job", i))));
@@ -57,7 +58,8 @@
   BOOST_TEST(outage.RulesOutAsCause(JobId("j")));
 }
 
-// Guards against a wide job whose tasks take all their workers down at once.
+// Failure: a wide job whose tasks crash all their workers at once is taken for
+// an outage.
 BOOST_AUTO_TEST_CASE(workers_of_a_job_do_not_exceed_it) {
   const JobId wide("wide");
   for (int i = 0; i < 20; ++i) detector.Note(Down(i, kNow, wide));
@@ -66,7 +68,8 @@
   BOOST_TEST(outage.RulesOutAsCause(JobId("beside")));
 }
 
-// Guards against trials that discount each other.
+// Failure: crashes of workers that are quarantined for different suspicious
+// tasks discount each other.
 BOOST_AUTO_TEST_CASE(workers_kept_for_suspicious_tasks_do_not_count) {
   for (int i = 0; i < 20; ++i) {
     DownWorker down = Down(i, kNow, JobId(Numbered("job", i)));
--- a/packages/jobs/tests/progress_writer_test.cc
+++ b/packages/jobs/tests/progress_writer_test.cc
@@ -37,7 +37,8 @@
         [this] { this->fenced = true; });
   }
 
-  /// @return revisions that a second of steady progress makes
+  /// @return the number of revisions written in one second of continuous
+  ///   progress
   Revision WritesInASecond(std::int64_t store_writes_per_second) {
     this->Open(store_writes_per_second);
     JobEntry* entry = this->Add(std::to_string(store_writes_per_second));
@@ -95,8 +96,8 @@
   BOOST_TEST((Stored("a") == JobState::kCancelled));
 }
 
-// The answer to a write is lost; it was done all the same. The next one names
-// the revision of that write, and nothing is lost or written twice over.
+// Failure: a write is applied but its response is lost. The next write requires
+// the revision of the lost one; no state may be lost or written twice.
 BOOST_AUTO_TEST_CASE(a_lost_answer_is_settled_by_the_next_write) {
   JobEntry* entry = Add("a");
   store.lost_answers = 1.0;
@@ -120,8 +121,8 @@
   BOOST_TEST(!Stored("a").has_value());
 }
 
-// Each answer of the store takes 0.4 s. With one transaction at a time, 300
-// jobs took 8 s; with ten they take a second and a half.
+// The store takes 0.4 s to respond. 300 jobs take 8 s with one transaction at a
+// time, and 1.5 s with ten.
 BOOST_AUTO_TEST_CASE(a_slow_store_holds_few_jobs_up) {
   constexpr int kJobs = 300;
   store.latency = milliseconds(400);
--- a/packages/jobs/tests/worker_session_test.cc
+++ b/packages/jobs/tests/worker_session_test.cc
@@ -20,9 +20,9 @@
 
 BOOST_AUTO_TEST_SUITE(worker_session)
 
-// A worker's clock is two in a hundred slow, and was read at the end of a hold
-// that waited for a second. Its lease lasts longer by our clock; a task that is
-// started elsewhere before would run twice.
+// The worker's clock is 2 % slow and was read at the end of a hold that waited
+// for 1 s. The lease lasts longer by the local clock. Failure: a task that is
+// started elsewhere before the lease ends runs twice.
 BOOST_AUTO_TEST_CASE(a_lease_lapses_by_the_slowest_clock_read_last) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   const Instant answered = kStart + seconds(1);
--- a/packages/jobs/tests/write_gate_test.cc
+++ b/packages/jobs/tests/write_gate_test.cc
@@ -32,8 +32,9 @@
   BOOST_TEST(Is(1050, Answer::kSend));
 }
 
-// The store falls silent: what comes after the first overdue write waits, and
-// is refused once nothing has been heard for the time of a renewal.
+// The store stops responding. Writes after the first overdue one are held, and
+// are rejected once the store has not responded for the time of a lease
+// renewal.
 BOOST_AUTO_TEST_CASE(an_overdue_write_holds_the_others_back) {
   Answered(1000, 1004);
   gate.OnSent(At(1010));
@@ -44,7 +45,7 @@
   BOOST_TEST(Is(1512, Answer::kSend));
 }
 
-// One answer of a store that lives is lost, and a later write is answered.
+// A response is lost although the store works, and a later write is answered.
 BOOST_AUTO_TEST_CASE(a_lost_answer_holds_nothing_back_for_long) {
   gate.OnSent(At(1000));
   Answered(1050, 1054);
@@ -55,7 +56,7 @@
   BOOST_TEST(Is(2104, Answer::kSend));
 }
 
-// A store that takes 0.4 s an answer is slow, not silent.
+// A store that responds after 0.4 s is slow but responsive.
 BOOST_AUTO_TEST_CASE(patience_follows_what_answers_take) {
   Answered(1000, 1400);
   gate.OnSent(At(1500));
@@ -68,7 +69,7 @@
   BOOST_TEST(Is(5101, Answer::kHold));
 }
 
-// Connections are reset in the middle of writes.
+// Connections are reset during writes.
 BOOST_AUTO_TEST_CASE(a_write_that_was_cut_off_holds_the_others_back) {
   gate.OnSent(At(1000));
   gate.OnUnanswered(At(1000), At(1001));
