--- a/packages/jobs/tests/cell_crash_test.cc
+++ b/packages/jobs/tests/cell_crash_test.cc
@@ -31,7 +31,7 @@
 
 // Failure: a task that crashes its worker is started on one worker after the
 // other.
-BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up) {
+BOOST_AUTO_TEST_CASE(job_fails_if_its_task_crashes_workers_at_start) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(1)), {});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(40)));
@@ -45,7 +45,7 @@
 
 // As above, but the task crashes its worker some time after the worker has
 // responded.
-BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_later_is_given_up) {
+BOOST_AUTO_TEST_CASE(job_fails_if_its_task_crashes_workers_later) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(5)),
                                {.after = milliseconds(1200)});
@@ -55,7 +55,7 @@
 }
 
 // Failure: a new owner does not know the losses seen by previous owners.
-BOOST_AUTO_TEST_CASE(crashes_under_a_task_are_counted_over_changes_of_owner) {
+BOOST_AUTO_TEST_CASE(crash_counts_survive_an_owner_change) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(1)), {});
   constexpr int kChanges = 6;
@@ -74,7 +74,7 @@
 
 // Failure: if the owner is lost at an unfavourable time, its successor does not
 // know the recorded losses.
-BOOST_AUTO_TEST_CASE(an_owner_may_be_lost_at_any_moment_of_it) {
+BOOST_AUTO_TEST_CASE(crash_counts_survive_loss_of_the_owner_at_any_time) {
   constexpr milliseconds kStep(150);
   constexpr milliseconds kLast(15'000);
   for (milliseconds moment{0}; moment < kLast; moment += kStep) {
@@ -92,7 +92,7 @@
 
 // Failure: tasks that merely share a worker with a crashing task are blamed for
 // its loss.
-BOOST_AUTO_TEST_CASE(tasks_beside_crashing_ones_are_done) {
+BOOST_AUTO_TEST_CASE(tasks_sharing_workers_with_crashing_tasks_complete) {
   const auto cell = SimCell::Builder().Workers(12).Build();
   std::vector<SimJob*> sound;
   constexpr int kRounds = 20;
@@ -112,7 +112,7 @@
 }
 
 // Failure: a gang is restarted each time one member has crashed its worker.
-BOOST_AUTO_TEST_CASE(a_gang_whose_member_crashes_its_worker_is_given_up) {
+BOOST_AUTO_TEST_CASE(job_fails_if_a_gang_member_crashes_its_worker) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   Step step = MakeStep(6, 6000, seconds(2));
   step.gang = true;
@@ -124,7 +124,7 @@
 
 // Failure: all tasks of a wide step are retried at once although each of them
 // crashes its worker.
-BOOST_AUTO_TEST_CASE(tasks_of_a_suspicious_step_are_tried_one_at_a_time) {
+BOOST_AUTO_TEST_CASE(tasks_of_a_suspicious_step_are_retried_one_at_a_time) {
   constexpr std::int64_t kWorkers = 8;
   const auto cell = SimCell::Builder().Workers(kWorkers).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(24, 4000, seconds(1)), {});
@@ -135,7 +135,7 @@
 }
 
 // Failure: other tasks are lost together with a suspicious task.
-BOOST_AUTO_TEST_CASE(nothing_starts_beside_a_suspicious_task) {
+BOOST_AUTO_TEST_CASE(no_task_starts_on_a_quarantined_worker) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   SimJob* crashing = SubmitCrashing(cell.get(), MakeStep(1, 1000, seconds(9)),
                                     {.after = milliseconds(800)});
@@ -154,7 +154,7 @@
 }
 
 // Failure: a worker that was only partitioned is taken for one that crashed.
-BOOST_AUTO_TEST_CASE(a_worker_that_comes_back_clears_its_tasks) {
+BOOST_AUTO_TEST_CASE(returning_worker_clears_suspicion_of_its_tasks) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 2000, seconds(40))}));
   constexpr int kCuts = 5;
@@ -173,7 +173,7 @@
 }
 
 // Failure: a long-running job is failed because hosts fail during its lifetime.
-BOOST_AUTO_TEST_CASE(a_service_outlives_the_failures_of_its_hosts) {
+BOOST_AUTO_TEST_CASE(long_running_job_survives_host_failures) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   Step step = MakeStep(1, 2000, seconds(1000));
   step.long_running = true;
--- a/packages/jobs/tests/cell_ended_test.cc
+++ b/packages/jobs/tests/cell_ended_test.cc
@@ -67,7 +67,8 @@
 // All hosts lose power after 1,200 jobs have ended, and the store takes 0.25 s
 // to respond. Failure: the new owner reads all jobs, including final ones, page
 // by page and then their progress, and places nothing for 1.5 s.
-BOOST_AUTO_TEST_CASE(a_takeover_reads_active_jobs_only_and_all_at_once) {
+BOOST_AUTO_TEST_CASE(
+    takeover_reads_only_active_jobs_concurrently_with_progress) {
   RunMany(1200);
   for (std::size_t i = 0; i < 3; ++i) cell->KillProcess(i);
   cell->Time().RunFor(seconds(1));
@@ -82,7 +83,7 @@
 
 // A caller resubmits a job that ended under a previous owner. It is accepted as
 // the same job, reported as completed and not run again.
-BOOST_AUTO_TEST_CASE(an_ended_job_that_is_handed_in_again_is_not_run_again) {
+BOOST_AUTO_TEST_CASE(resubmitted_final_job_is_not_rerun) {
   SimJob* job = RunOne();
   const std::size_t owner = ChangeOwner();
   std::optional<SubmitResult> result;
@@ -100,7 +101,7 @@
 
 // A process is paused between a write and its response. When it resumes and
 // announces the job, the job is done and the owner has changed.
-BOOST_AUTO_TEST_CASE(an_announcement_that_comes_late_runs_nothing) {
+BOOST_AUTO_TEST_CASE(late_announcement_of_a_final_job_starts_no_task) {
   SimJob* job = RunOne();
   const std::size_t owner = ChangeOwner();
   cell->ProcessAt(owner)->Post([&] {
@@ -111,7 +112,7 @@
 }
 
 // Callers query a job that ended under a previous owner, at any process.
-BOOST_AUTO_TEST_CASE(the_end_of_a_job_outlives_its_owner) {
+BOOST_AUTO_TEST_CASE(final_state_survives_an_owner_change) {
   SimJob* job = RunOne();
   ChangeOwner();
   for (std::size_t i = 0; i < 3; ++i) {
@@ -121,7 +122,7 @@
 
 // An earlier version stored the final state of a job as its progress and left
 // the key of the job in place.
-BOOST_AUTO_TEST_CASE(an_end_that_was_kept_as_progress_is_taken_up) {
+BOOST_AUTO_TEST_CASE(final_state_stored_as_progress_is_read) {
   Job job;
   job.id = JobId("former");
   job.queue = cell->queue;
@@ -140,7 +141,7 @@
 
 // The keys of a final job are kept for the retention time and removed
 // afterwards.
-BOOST_AUTO_TEST_CASE(nothing_is_left_of_a_job_after_its_retention) {
+BOOST_AUTO_TEST_CASE(expired_job_leaves_no_keys) {
   SimJob* job = Submit(seconds(60));
   cell->Time().RunFor(seconds(1));
   cell->Cancel(job->job.id);
@@ -160,7 +161,7 @@
 // A job that fills the worker is cancelled while the worker is unreachable, and
 // its owner crashes. The next owner finds running tasks that it does not know.
 // Failure: it considers their resources free and overcommits the worker.
-BOOST_AUTO_TEST_CASE(room_of_unknown_runs_is_not_given_away) {
+BOOST_AUTO_TEST_CASE(resources_of_unknown_runs_stay_reserved) {
   cell = SimCell::Builder().Processes(3).Workers(1).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 4000, seconds(30))}));
   cell->Time().RunFor(seconds(1));
--- a/packages/jobs/tests/cell_restart_test.cc
+++ b/packages/jobs/tests/cell_restart_test.cc
@@ -51,7 +51,7 @@
 
 // Failure: the ends reported by a new incarnation are taken for ends that are
 // already known.
-BOOST_AUTO_TEST_CASE(ends_after_a_restart_under_the_same_id_are_read) {
+BOOST_AUTO_TEST_CASE(ends_after_a_worker_restart_are_processed) {
   const auto cell = MakeCell(2);
   RunSomeJobs(cell.get());
   RestartAll(cell.get(), milliseconds(700));
@@ -65,7 +65,7 @@
 
 // Failure: a worker that responds is considered lost because the lease of its
 // former incarnation expires.
-BOOST_AUTO_TEST_CASE(a_restarted_worker_that_answers_is_not_lost_by_its_lease) {
+BOOST_AUTO_TEST_CASE(restarted_worker_is_not_lost_to_its_former_lease) {
   const auto cell = MakeCell(2);
   RunSomeJobs(cell.get());
   cell->Time().RunFor(seconds(20));
@@ -83,7 +83,7 @@
 }
 
 // Failure: healthy jobs are failed because their workers restart.
-BOOST_AUTO_TEST_CASE(jobs_survive_restarts_again_and_again) {
+BOOST_AUTO_TEST_CASE(jobs_survive_repeated_worker_restarts) {
   const auto cell = MakeCell(6);
   std::vector<const SimJob*> jobs;
   constexpr int kRounds = 6;
@@ -106,7 +106,7 @@
 }
 
 // Failure: the limit on lost workers counts each worker id only once.
-BOOST_AUTO_TEST_CASE(crashes_are_counted_over_restarts_under_one_id) {
+BOOST_AUTO_TEST_CASE(crashes_are_counted_across_restarts_of_one_worker_id) {
   const auto cell = MakeCell(1);
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 2000, seconds(1))}));
   job->crashing = job_sim::CrashingTasks{};
@@ -117,7 +117,7 @@
 
 // Failure: healthy jobs are failed, or delayed as suspicious, after outages of
 // many workers.
-BOOST_AUTO_TEST_CASE(sound_jobs_survive_outages_of_many_workers) {
+BOOST_AUTO_TEST_CASE(healthy_jobs_survive_outages_of_many_workers) {
   const auto cell = MakeCell(40);
   std::vector<const SimJob*> jobs;
   constexpr std::size_t kJobs = 4;
@@ -141,7 +141,7 @@
 
 // Failure: a start order that the former incarnation left unanswered is carried
 // out by the new one while the task runs elsewhere.
-BOOST_AUTO_TEST_CASE(a_late_start_does_not_run_beside_a_newer_one) {
+BOOST_AUTO_TEST_CASE(delayed_start_does_not_run_concurrently_with_a_newer_run) {
   constexpr milliseconds kStep(100);
   constexpr milliseconds kLast(2000);
   for (milliseconds moment{0}; moment <= kLast; moment += kStep) {
@@ -159,7 +159,7 @@
 }
 
 // Failure: a new owner asks the new incarnation about runs of the former one.
-BOOST_AUTO_TEST_CASE(a_restart_during_a_change_of_owner_loses_no_run) {
+BOOST_AUTO_TEST_CASE(worker_restart_during_takeover_loses_no_run) {
   constexpr milliseconds kStep(200);
   constexpr milliseconds kLast(3000);
   for (milliseconds moment{0}; moment <= kLast; moment += kStep) {
@@ -182,7 +182,7 @@
 
 // Failure: permissions and rejections for a former incarnation are applied to
 // the new one.
-BOOST_AUTO_TEST_CASE(a_new_life_is_asked_about_anew) {
+BOOST_AUTO_TEST_CASE(permissions_are_requested_again_for_a_new_incarnation) {
   auto cell =
       SimCell::Builder().Workers(8).Advice(0.5, milliseconds(60)).Build();
   cell->ReuseWorkerIds();
@@ -202,7 +202,7 @@
 
 // Failure: a worker that restarts with another capacity receives tasks that fit
 // its former incarnation.
-BOOST_AUTO_TEST_CASE(a_smaller_life_is_not_overcommitted) {
+BOOST_AUTO_TEST_CASE(smaller_incarnation_is_not_overcommitted) {
   const auto cell = MakeCell(3);
   cell->VaryCapacity(0.3);
   std::vector<const SimJob*> jobs;
@@ -218,7 +218,7 @@
 }
 
 // Failure: workers whose entry has no start time are not used any more.
-BOOST_AUTO_TEST_CASE(workers_that_tell_no_birth_are_served) {
+BOOST_AUTO_TEST_CASE(workers_without_a_start_time_are_used) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->HideBirths();
   std::vector<const SimJob*> jobs;
--- a/packages/jobs/tests/cell_worker_test.cc
+++ b/packages/jobs/tests/cell_worker_test.cc
@@ -21,7 +21,7 @@
 // A worker is lost permanently while it runs tasks. Failure: each attempt to
 // reach it postpones the time at which its lease is certain to have expired,
 // and its tasks are never started elsewhere.
-BOOST_AUTO_TEST_CASE(tasks_of_a_worker_that_is_gone_start_elsewhere) {
+BOOST_AUTO_TEST_CASE(tasks_of_a_lost_worker_are_rescheduled) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(8, 3000, seconds(3))}));
   cell->Time().RunFor(seconds(1));
@@ -34,7 +34,7 @@
 // it. Failure: while the start is being stored the worker is considered lost
 // together with its other new tasks, and each is placed again, one store call
 // later, on a worker that must be fenced again.
-BOOST_AUTO_TEST_CASE(an_idle_worker_is_not_lost_while_a_start_is_stored) {
+BOOST_AUTO_TEST_CASE(idle_worker_is_not_lost_while_a_start_is_stored) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   cell->Time().RunFor(seconds(30));
   cell->Store().latency = milliseconds(250);
@@ -47,7 +47,7 @@
 // A worker crashes and restarts immediately at the same address. The new
 // incarnation proves that the former one has ended, so that its tasks need not
 // wait for the lease to expire.
-BOOST_AUTO_TEST_CASE(the_next_life_of_a_worker_ends_the_wait) {
+BOOST_AUTO_TEST_CASE(next_incarnation_confirms_the_loss_at_once) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 3000, seconds(2))}));
   cell->Time().RunFor(milliseconds(500));
@@ -60,7 +60,7 @@
 // A worker is partitioned and keeps running. Its tasks are started elsewhere
 // only after its lease has expired by its own slow clock, and the runs that it
 // lists after the partition have no effect.
-BOOST_AUTO_TEST_CASE(a_worker_cut_off_runs_nothing_twice) {
+BOOST_AUTO_TEST_CASE(partitioned_worker_causes_no_duplicate_run) {
   const auto cell = SimCell::Builder().Workers(3).Build();
   cell->Submit(MakeSpec({MakeStep(8, 3000, seconds(7))}));
   cell->Time().RunFor(seconds(1));
@@ -73,7 +73,7 @@
 
 // 5 % of the orders get no response and are carried out seconds later, when the
 // task may be running elsewhere or be done.
-BOOST_AUTO_TEST_CASE(orders_that_are_carried_out_late_do_no_harm) {
+BOOST_AUTO_TEST_CASE(delayed_orders_cause_no_duplicate_run) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->Workers().late_orders = 0.05;
   for (int i = 0; i < 20; ++i) {
@@ -95,7 +95,8 @@
 // All members of a gang complete, and the store stops responding while the
 // first end is being stored. Failure: the workers forget the other ends before
 // that, and the next owner finds no end and runs the gang again.
-BOOST_AUTO_TEST_CASE(ends_of_a_gang_are_kept_until_the_first_is_stored) {
+BOOST_AUTO_TEST_CASE(
+    gang_ends_are_acknowledged_only_after_the_first_is_stored) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   JobSpec spec = MakeSpec({MakeStep(8, 6000, seconds(2))});
   spec.steps[0].gang = true;
@@ -113,7 +114,7 @@
 }
 
 // A task is stopped while running and resumes elsewhere from its checkpoint.
-BOOST_AUTO_TEST_CASE(work_that_was_saved_is_not_done_again) {
+BOOST_AUTO_TEST_CASE(task_resumes_from_its_checkpoint) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   JobSpec spec = MakeSpec({MakeStep(1, 3000, seconds(10))});
   spec.steps[0].checkpointing = true;
@@ -133,7 +134,7 @@
 // The entry of a worker is overwritten with invalid data. No task is started on
 // it until the worker writes its entry again; the other workers keep receiving
 // tasks.
-BOOST_AUTO_TEST_CASE(an_entry_that_is_broken_names_no_worker) {
+BOOST_AUTO_TEST_CASE(invalid_worker_entry_stops_starts_on_that_worker) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimWorker* broken = cell->Workers().Alive().front();
   const std::string key = "workers/" + broken->Info().incarnation.id.Text();
@@ -152,7 +153,7 @@
 }
 
 // Failure: a start order is repeated as fast as it is rejected.
-BOOST_AUTO_TEST_CASE(a_start_that_is_turned_down_is_sent_ever_more_rarely) {
+BOOST_AUTO_TEST_CASE(rejected_start_is_retried_with_backoff) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   SimWorker* worker = cell->Workers().Find("w0");
   worker->refuses_all = true;
--- a/packages/jobs/tests/crash_history_test.cc
+++ b/packages/jobs/tests/crash_history_test.cc
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_SUITE(crash_history)
 
-BOOST_AUTO_TEST_CASE(a_life_counts_once) {
+BOOST_AUTO_TEST_CASE(a_worker_incarnation_counts_once) {
   CrashHistory history;
   history.Note(Loss("a", seconds(1)));
   history.Note(Loss("a", seconds(1)));
@@ -28,7 +28,7 @@
   BOOST_TEST(history.Empty());
 }
 
-BOOST_AUTO_TEST_CASE(one_loss_is_suspicious_only_at_the_start) {
+BOOST_AUTO_TEST_CASE(a_single_loss_is_suspicious_only_at_task_start) {
   CrashHistory late;
   late.Note(Loss("a", seconds(1)));
   BOOST_TEST(!late.Suspicious());
@@ -41,7 +41,7 @@
   BOOST_TEST(late.Suspicious());
 }
 
-BOOST_AUTO_TEST_CASE(a_run_is_proven_once_it_outlives_the_former) {
+BOOST_AUTO_TEST_CASE(probation_outlasts_the_longest_previous_run) {
   CrashHistory history;
   history.Note(Loss("a", milliseconds(300)));
   BOOST_TEST((history.ProbationPeriod() > milliseconds(300)));
@@ -50,7 +50,7 @@
   BOOST_TEST((history.ProbationPeriod() >= seconds(5)));
 }
 
-BOOST_AUTO_TEST_CASE(the_third_loss_gives_up_only_a_task_that_was_alone) {
+BOOST_AUTO_TEST_CASE(third_loss_is_decisive_only_for_a_task_that_ran_alone) {
   CrashHistory history;
   history.Note(Loss("a", seconds(1)));
   history.Note(Loss("b", seconds(1)));
@@ -67,7 +67,7 @@
   BOOST_TEST(history.Unsafe(kMaxLosses));
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_worker_counts_only_once_it_is_known_to_be_gone) {
+BOOST_AUTO_TEST_CASE(silent_worker_counts_only_after_its_loss_is_confirmed) {
   CrashHistory history;
   history.Note(Loss("a", seconds(1)));
   history.Note(Loss("b", seconds(1)));
@@ -83,7 +83,7 @@
 }
 
 // Failure: healthy tasks are failed after outages of many workers.
-BOOST_AUTO_TEST_CASE(runs_long_at_work_that_end_in_outages_do_not_count) {
+BOOST_AUTO_TEST_CASE(long_runs_lost_in_outages_do_not_count) {
   CrashHistory history;
   std::set<WorkerIncarnation> workers;
   for (const char* worker : {"a", "b", "c", "d", "e"}) {
@@ -100,7 +100,7 @@
 
 // Failure: a task that crashes its workers is never failed because other
 // workers are lost at the same times.
-BOOST_AUTO_TEST_CASE(a_loss_at_the_start_is_discounted_once) {
+BOOST_AUTO_TEST_CASE(loss_at_task_start_is_discounted_once) {
   CrashHistory history;
   std::set<WorkerIncarnation> workers;
   for (const char* worker : {"a", "b", "c"}) {
@@ -114,7 +114,7 @@
 }
 
 // Failure: an incarnation is mistaken for the previous one with the same id.
-BOOST_AUTO_TEST_CASE(each_life_under_one_id_counts) {
+BOOST_AUTO_TEST_CASE(each_incarnation_of_a_worker_id_counts) {
   CrashHistory history;
   for (std::int64_t born = 1; born <= 3; ++born) {
     WorkerLoss loss;
--- a/packages/jobs/tests/job_spec_test.cc
+++ b/packages/jobs/tests/job_spec_test.cc
@@ -25,7 +25,7 @@
   BOOST_TEST(FieldAtFault(MakeSpec({MakeStep(3, 100, seconds(1))})) == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_step_may_only_follow_earlier_ones) {
+BOOST_AUTO_TEST_CASE(step_may_depend_only_on_earlier_steps) {
   JobSpec spec =
       MakeSpec({MakeStep(1, 100, seconds(1)), MakeStep(1, 100, seconds(1))});
   spec.steps[0].after = {0};
@@ -39,7 +39,7 @@
   BOOST_TEST(FieldAtFault(spec) == "");
 }
 
-BOOST_AUTO_TEST_CASE(bounds_name_the_field) {
+BOOST_AUTO_TEST_CASE(limit_violations_name_the_field) {
   BOOST_TEST(FieldAtFault(MakeSpec({})) == "steps");
   BOOST_TEST(FieldAtFault(MakeSpec({MakeStep(0, 100, seconds(1))})) ==
              "steps[0].tasks");
@@ -55,7 +55,7 @@
   BOOST_TEST(FieldAtFault(spec) == "schedule.occurrences");
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_chooses_the_queue) {
+BOOST_AUTO_TEST_CASE(longest_path_prefix_selects_the_queue) {
   DesiredState desired;
   for (const char* prefix : {"/a/", "/a/b/", "/c/"}) {
     Queue queue;
--- a/packages/jobs/tests/job_table_test.cc
+++ b/packages/jobs/tests/job_table_test.cc
@@ -61,7 +61,7 @@
   BOOST_TEST(table.Active().empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_end_counts_once) {
+BOOST_AUTO_TEST_CASE(run_end_counts_once) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   BOOST_TEST(End(runs[0], RunEnd::kFailed).matched);
@@ -73,7 +73,7 @@
   BOOST_TEST((entry->state == JobState::kFailed));
 }
 
-BOOST_AUTO_TEST_CASE(an_end_of_an_older_run_changes_nothing) {
+BOOST_AUTO_TEST_CASE(end_of_an_older_run_is_ignored) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto old = Begin(entry, 0);
   End(old[0], RunEnd::kLapsed);
@@ -82,7 +82,7 @@
   BOOST_TEST((entry->state == JobState::kRunning));
 }
 
-BOOST_AUTO_TEST_CASE(a_good_end_that_comes_late_counts_if_nothing_newer_runs) {
+BOOST_AUTO_TEST_CASE(late_success_counts_if_no_newer_run_started) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   End(runs[0], RunEnd::kLapsed);
@@ -91,7 +91,7 @@
   BOOST_TEST(effect.job_final);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_shares_its_run_and_its_attempts) {
+BOOST_AUTO_TEST_CASE(gang_members_share_run_number_and_attempts) {
   JobSpec spec = MakeSpec({MakeStep(3, 100, seconds(1))});
   spec.steps[0].gang = true;
   JobEntry* entry = Add(spec);
@@ -110,7 +110,7 @@
   BOOST_TEST(End(again[1], RunEnd::kDone).job_final);
 }
 
-BOOST_AUTO_TEST_CASE(a_checkpoint_of_one_member_is_every_members) {
+BOOST_AUTO_TEST_CASE(checkpoint_of_one_gang_member_applies_to_all) {
   JobSpec spec = MakeSpec({MakeStep(2, 100, seconds(1))});
   spec.steps[0].gang = true;
   JobEntry* entry = Add(spec);
@@ -122,7 +122,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_long_running_task_starts_again_however_it_ends) {
+BOOST_AUTO_TEST_CASE(long_running_task_restarts_after_any_end) {
   JobSpec spec = MakeSpec({MakeStep(1, 100, seconds(1))});
   spec.steps[0].long_running = true;
   JobEntry* entry = Add(spec);
@@ -157,7 +157,7 @@
   BOOST_TEST(End(third[0], RunEnd::kDone).job_final);
 }
 
-BOOST_AUTO_TEST_CASE(a_run_that_never_started_is_taken_back) {
+BOOST_AUTO_TEST_CASE(unstarted_run_is_withdrawn) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   table.Withdraw(runs[0]);
--- a/packages/jobs/tests/outage_detector_test.cc
+++ b/packages/jobs/tests/outage_detector_test.cc
@@ -45,13 +45,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(outage_detector, Fixture)
 
-BOOST_AUTO_TEST_CASE(workers_that_go_one_by_one_are_no_outage) {
+BOOST_AUTO_TEST_CASE(workers_lost_one_by_one_are_not_an_outage) {
   for (int i = 0; i < 20; ++i) Note(i, i, kNow + milliseconds(400) * i);
   const Outage outage = With(Down(30, kNow + seconds(2), JobId("j")));
   BOOST_TEST(!outage.RulesOutAsCause(JobId("j")));
 }
 
-BOOST_AUTO_TEST_CASE(many_workers_at_one_moment_exceed_a_job) {
+BOOST_AUTO_TEST_CASE(many_simultaneous_losses_rule_out_a_job_as_cause) {
   Note(0, 7, kNow);
   const Outage outage = With(Down(30, kNow + milliseconds(20), JobId("j")));
   BOOST_TEST(outage.unexplained == 9U);
@@ -60,7 +60,7 @@
 
 // Failure: a wide job whose tasks crash all their workers at once is taken for
 // an outage.
-BOOST_AUTO_TEST_CASE(workers_of_a_job_do_not_exceed_it) {
+BOOST_AUTO_TEST_CASE(losses_of_a_jobs_own_workers_do_not_rule_it_out) {
   const JobId wide("wide");
   for (int i = 0; i < 20; ++i) detector.Note(Down(i, kNow, wide));
   const Outage outage = With(Down(30, kNow, wide));
@@ -70,7 +70,7 @@
 
 // Failure: crashes of workers that are quarantined for different suspicious
 // tasks discount each other.
-BOOST_AUTO_TEST_CASE(workers_kept_for_suspicious_tasks_do_not_count) {
+BOOST_AUTO_TEST_CASE(quarantined_workers_do_not_count) {
   for (int i = 0; i < 20; ++i) {
     DownWorker down = Down(i, kNow, JobId(Numbered("job", i)));
     down.quarantined = true;
@@ -79,7 +79,7 @@
   BOOST_TEST(!With(Down(30, kNow, JobId("j"))).RulesOutAsCause(JobId("j")));
 }
 
-BOOST_AUTO_TEST_CASE(a_moment_that_is_not_known_is_taken_widely) {
+BOOST_AUTO_TEST_CASE(inexact_loss_times_use_the_wider_window) {
   Note(0, 7, kNow);
   DownWorker late = Down(30, kNow + milliseconds(400), JobId("j"));
   BOOST_TEST(!With(late).RulesOutAsCause(JobId("j")));
--- a/packages/jobs/tests/progress_writer_test.cc
+++ b/packages/jobs/tests/progress_writer_test.cc
@@ -85,7 +85,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(progress_writer, Fixture)
 
-BOOST_AUTO_TEST_CASE(what_is_written_in_between_is_the_newest_state) {
+BOOST_AUTO_TEST_CASE(coalesced_writes_store_the_newest_state) {
   JobEntry* entry = Add("a");
   Write("a");
   time.RunFor(milliseconds(1));
@@ -98,7 +98,7 @@
 
 // Failure: a write is applied but its response is lost. The next write requires
 // the revision of the lost one; no state may be lost or written twice.
-BOOST_AUTO_TEST_CASE(a_lost_answer_is_settled_by_the_next_write) {
+BOOST_AUTO_TEST_CASE(lost_answer_is_resolved_by_the_next_write) {
   JobEntry* entry = Add("a");
   store.lost_answers = 1.0;
   Write("a");
@@ -111,7 +111,7 @@
   BOOST_TEST(!fenced);
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_owner_ends_all_writes) {
+BOOST_AUTO_TEST_CASE(newer_owner_stops_all_writes) {
   Add("a");
   store.Put(keys::Owner(), "another");
   Write("a");
@@ -123,7 +123,7 @@
 
 // The store takes 0.4 s to respond. 300 jobs take 8 s with one transaction at a
 // time, and 1.5 s with ten.
-BOOST_AUTO_TEST_CASE(a_slow_store_holds_few_jobs_up) {
+BOOST_AUTO_TEST_CASE(slow_store_delays_few_jobs) {
   constexpr int kJobs = 300;
   store.latency = milliseconds(400);
   for (int i = 0; i < kJobs; ++i) {
@@ -135,7 +135,7 @@
   BOOST_TEST(stored == kJobs);
 }
 
-BOOST_AUTO_TEST_CASE(a_job_that_is_forgotten_holds_nobody_up) {
+BOOST_AUTO_TEST_CASE(removed_job_does_not_block_other_writes) {
   Add("a");
   store.silent = true;
   Write("a");
@@ -147,7 +147,7 @@
   BOOST_TEST(stored == 2);
 }
 
-BOOST_AUTO_TEST_CASE(writes_keep_to_their_share_of_what_the_store_takes) {
+BOOST_AUTO_TEST_CASE(writes_stay_within_their_share_of_the_store_rate) {
   const Revision small = this->WritesInASecond(400);
   BOOST_TEST(small >= 20);
   BOOST_TEST(small <= 26);
--- a/packages/jobs/tests/record_codec_test.cc
+++ b/packages/jobs/tests/record_codec_test.cc
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_SUITE(record_codec)
 
-BOOST_AUTO_TEST_CASE(a_job_survives_the_store) {
+BOOST_AUTO_TEST_CASE(job_round_trips) {
   const Job job = MakeJob();
   const auto read = DecodeJob(EncodeJob(job));
   BOOST_REQUIRE(read.has_value());
@@ -62,7 +62,7 @@
   BOOST_TEST(read->accepted_unix_ms == job.accepted_unix_ms);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_record_are_refused) {
+BOOST_AUTO_TEST_CASE(invalid_bytes_are_rejected) {
   BOOST_TEST(!DecodeJob("").has_value());
   BOOST_TEST(!DecodeJob("\xff\xff\xff").has_value());
   const std::string whole = EncodeJob(MakeJob());
@@ -70,7 +70,7 @@
   BOOST_TEST(!DecodeStatus("\x08\x63").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(progress_survives_the_store) {
+BOOST_AUTO_TEST_CASE(progress_round_trips) {
   Job job = MakeJob();
   job.spec.schedule = {};
   JobTable table;
@@ -100,7 +100,7 @@
   BOOST_TEST((read->state == JobState::kRunning));
 }
 
-BOOST_AUTO_TEST_CASE(a_final_state_is_all_that_is_kept_of_a_final_job) {
+BOOST_AUTO_TEST_CASE(only_the_final_state_of_a_final_job_is_kept) {
   JobTable table;
   Job job = MakeJob();
   JobEntry* entry = table.Add(job, kNow);
@@ -110,19 +110,19 @@
   BOOST_TEST((DecodeStatus(bytes)->state == JobState::kCancelled));
 }
 
-BOOST_AUTO_TEST_CASE(a_process_survives_the_store) {
+BOOST_AUTO_TEST_CASE(node_record_round_trips) {
   const NodeRecord node{
       ProcessId("p"), DataCenterId("d"), "10.0.0.1:7720", 9, 250, 260};
   BOOST_TEST((DecodeNode(EncodeNode(node)) == node));
   BOOST_TEST(!DecodeNode("").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(how_a_job_ended_survives_the_store) {
+BOOST_AUTO_TEST_CASE(final_status_round_trips) {
   const JobStatus failed{JobState::kFailed, "task a.0.0.1 failed 3 times"};
   BOOST_TEST((DecodeStatus(EncodeEnd(failed)) == failed));
 }
 
-BOOST_AUTO_TEST_CASE(losses_of_workers_survive_the_store) {
+BOOST_AUTO_TEST_CASE(worker_losses_round_trip) {
   Job job = MakeJob();
   job.spec.schedule = {};
   JobTable table;
--- a/packages/jobs/tests/worker_session_test.cc
+++ b/packages/jobs/tests/worker_session_test.cc
@@ -23,7 +23,7 @@
 // The worker's clock is 2 % slow and was read at the end of a hold that waited
 // for 1 s. The lease lasts longer by the local clock. Failure: a task that is
 // started elsewhere before the lease ends runs twice.
-BOOST_AUTO_TEST_CASE(a_lease_lapses_by_the_slowest_clock_read_last) {
+BOOST_AUTO_TEST_CASE(lease_expires_by_the_slowest_permitted_clock) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   const Instant answered = kStart + seconds(1);
   session.NoteClock(
@@ -37,7 +37,7 @@
   BOOST_TEST((session.LapsesAt() < answered + slowest + milliseconds(400)));
 }
 
-BOOST_AUTO_TEST_CASE(an_order_that_repeats_a_lease_puts_nothing_off) {
+BOOST_AUTO_TEST_CASE(repeated_lease_does_not_postpone_expiry) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   session.NoteClock({.clock_ms = 1000, .asked = kStart, .answered = kStart});
   session.NoteLeaseSent(session.LeaseUntilMs(kStart, milliseconds(4500)));
@@ -47,7 +47,7 @@
   BOOST_TEST((session.LapsesAt() == lapse));
 }
 
-BOOST_AUTO_TEST_CASE(an_older_reading_does_not_set_the_clock_back) {
+BOOST_AUTO_TEST_CASE(older_clock_reading_is_ignored) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   session.NoteClock({.clock_ms = 2000,
                      .asked = kStart + seconds(1),
@@ -58,7 +58,7 @@
              2000);
 }
 
-BOOST_AUTO_TEST_CASE(room_is_taken_until_the_run_is_removed) {
+BOOST_AUTO_TEST_CASE(resources_are_reserved_until_the_run_is_removed) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   const RunRef run{{{JobId("j"), 0, 0}, 0}, 1};
   SessionRun record;
--- a/packages/jobs/tests/write_gate_test.cc
+++ b/packages/jobs/tests/write_gate_test.cc
@@ -25,7 +25,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(write_gate, Fixture)
 
-BOOST_AUTO_TEST_CASE(writes_go_out_while_the_store_answers) {
+BOOST_AUTO_TEST_CASE(writes_are_sent_while_the_store_answers) {
   BOOST_TEST(Is(0, Answer::kSend));
   Answered(1000, 1004);
   gate.OnSent(At(1010));
@@ -35,7 +35,7 @@
 // The store stops responding. Writes after the first overdue one are held, and
 // are rejected once the store has not responded for the time of a lease
 // renewal.
-BOOST_AUTO_TEST_CASE(an_overdue_write_holds_the_others_back) {
+BOOST_AUTO_TEST_CASE(overdue_write_holds_later_writes) {
   Answered(1000, 1004);
   gate.OnSent(At(1010));
   BOOST_TEST(Is(1111, Answer::kHold));
@@ -46,7 +46,7 @@
 }
 
 // A response is lost although the store works, and a later write is answered.
-BOOST_AUTO_TEST_CASE(a_lost_answer_holds_nothing_back_for_long) {
+BOOST_AUTO_TEST_CASE(lost_answer_holds_writes_only_briefly) {
   gate.OnSent(At(1000));
   Answered(1050, 1054);
   BOOST_TEST(Is(1200, Answer::kSend));
@@ -57,7 +57,7 @@
 }
 
 // A store that responds after 0.4 s is slow but responsive.
-BOOST_AUTO_TEST_CASE(patience_follows_what_answers_take) {
+BOOST_AUTO_TEST_CASE(overdue_time_follows_answer_latency) {
   Answered(1000, 1400);
   gate.OnSent(At(1500));
   BOOST_TEST(Is(2600, Answer::kSend));
@@ -70,7 +70,7 @@
 }
 
 // Connections are reset during writes.
-BOOST_AUTO_TEST_CASE(a_write_that_was_cut_off_holds_the_others_back) {
+BOOST_AUTO_TEST_CASE(interrupted_write_holds_later_writes) {
   gate.OnSent(At(1000));
   gate.OnUnanswered(At(1000), At(1001));
   BOOST_TEST(Is(1002, Answer::kHold));
