--- a/packages/jobs/include/mustardproxy/jobs/key_value_store.h
+++ b/packages/jobs/include/mustardproxy/jobs/key_value_store.h
@@ -79,7 +79,7 @@
   kLeaseNotFound,
   /// The store rejected the write or could not be reached; nothing was written,
   /// nor will be.
-  kNotDone,
+  kNotApplied,
   /// No response arrived: the write may have been applied, or may still be
   /// applied seconds later if its conditions are met then.
   kUncertain,
--- a/packages/jobs/include/mustardproxy/jobs/worker_driver.h
+++ b/packages/jobs/include/mustardproxy/jobs/worker_driver.h
@@ -158,7 +158,7 @@
   /// In ascending order of their numbers.
   std::vector<EndedRun> ended;
   /// The list of ended runs was truncated to the maximum size of one response.
-  bool more_ended = false;
+  bool ended_truncated = false;
 
   /// @return all runs in `running` and `ended`
   [[nodiscard]] std::set<RunRef> ListedRuns() const;
--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -275,7 +275,7 @@
       this->VerifyElection();
       return;
     case CommitOutcome::kLeaseNotFound:
-    case CommitOutcome::kNotDone:
+    case CommitOutcome::kNotApplied:
       break;
   }
   this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -233,7 +233,7 @@
 
 void HoldLoop::EndUnlistedRuns(WorkerSession* session, Instant asked,
                                const HoldResult& result) {
-  if (result.more_ended) return;
+  if (result.ended_truncated) return;
   const std::set<RunRef> listed = result.ListedRuns();
   std::vector<RunRef> gone;
   for (const auto& [run, record] : session->runs) {
--- a/testing/job_sim/src/sim_store.cc
+++ b/testing/job_sim/src/sim_store.cc
@@ -86,7 +86,7 @@
     };
     if (this->process->store_cut || this->store->refusing) {
       time->After(this->store->latency, [answer] {
-        answer(CommitResult{CommitOutcome::kNotDone, 0, {}});
+        answer(CommitResult{CommitOutcome::kNotApplied, 0, {}});
       });
       return;
     }
