--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -48,7 +48,7 @@
     return std::any_of(
         unit.tasks.begin(), unit.tasks.end(), [&](std::int32_t index) {
           return unit.progress->tasks[static_cast<std::size_t>(index)]
-                     .failed_at == worker;
+                     .last_failed_worker == worker;
         });
   };
   const auto first_failed = std::stable_partition(
@@ -181,7 +181,7 @@
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
       const auto index = static_cast<std::int32_t>(i);
       const StepEntry& progress = occurrence.steps[i];
-      if (progress.AllUnderWay()) continue;
+      if (progress.AllDoneOrOpen()) continue;
       if (!JobTable::Ready(*entry, occurrence, index)) continue;
       std::vector<std::int32_t> tasks =
           JobTable::Startable(*entry, progress, index, now);
@@ -490,8 +490,8 @@
                                        Instant now) {
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice != nullptr) {
-    if (advice->asking || now < unit.progress->ask_after) return;
-    unit.progress->ask_after = now + kAskInterval;
+    if (advice->asking || now < unit.progress->next_advice_check) return;
+    unit.progress->next_advice_check = now + kAskInterval;
     if (this->WorkersToAsk(unit, capacities, now).empty()) return;
   }
   this->context->advice->RequestPermissions(
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -67,7 +67,7 @@
   ComputeCriticalPaths(slot.get());
   this->active.push_back(slot.get());
   if (slot->job.spec.schedule.occurrences == 0) {
-    Open(slot.get(), 0);
+    OpenOccurrence(slot.get(), 0);
     slot->next_to_open = 1;
   }
   return slot.get();
@@ -90,7 +90,8 @@
   this->jobs.erase(id);
 }
 
-OccurrenceEntry* JobTable::Open(JobEntry* entry, std::int32_t number) {
+OccurrenceEntry* JobTable::OpenOccurrence(JobEntry* entry,
+                                          std::int32_t number) {
   OccurrenceEntry& occurrence = entry->occurrences[number];
   if (!occurrence.steps.empty()) return &occurrence;
   for (const Step& step : entry->job.spec.steps) {
@@ -110,7 +111,7 @@
   bool opened = false;
   for (auto due = NextDueMs(*entry); due && *due <= unix_ms;
        due = NextDueMs(*entry)) {
-    Open(entry, entry->next_to_open);
+    OpenOccurrence(entry, entry->next_to_open);
     ++entry->next_to_open;
     opened = true;
   }
@@ -194,7 +195,7 @@
   }
   StepEntry* step = this->FindStepEntry(run.task.step);
   const Step* spec = this->FindStep(run.task.step);
-  if (end == RunEnd::kFailed) task->failed_at = task->worker.id;
+  if (end == RunEnd::kFailed) task->last_failed_worker = task->worker.id;
   CloseRun(step, task);
   if (!checkpoint.empty()) this->NoteCheckpoint(run, checkpoint);
   EndEffect effect;
@@ -208,7 +209,7 @@
   }
   effect.matched = true;
   if (end != RunEnd::kDone) {
-    effect.gang_over = spec->gang;
+    effect.gang_ended = spec->gang;
     task->not_before = now + kTaskRetryDelay;
   }
   return effect;
--- a/packages/jobs/src/job_table.h
+++ b/packages/jobs/src/job_table.h
@@ -34,11 +34,11 @@
   /// Worker of the open run.
   WorkerIncarnation worker;
   /// Worker of the last failed run; other workers are tried first.
-  WorkerId failed_at;
+  WorkerId last_failed_worker;
   /// Checkpoint from which the next run resumes.
   std::string checkpoint;
   /// Number of consecutive start orders that were rejected.
-  std::int32_t refusals = 0;
+  std::int32_t rejected_starts = 0;
   /// Earliest time of the next run.
   Instant not_before;
 };
@@ -54,15 +54,15 @@
   /// collected.
   Instant gather_by = Instant::max();
   /// Earliest time to check again whether to query the policy service.
-  Instant ask_after;
+  Instant next_advice_check;
   /// Earliest time to log again what the step is waiting for.
-  Instant report_after;
+  Instant next_wait_report;
 
   [[nodiscard]] bool Done() const {
     return this->done == static_cast<std::int32_t>(this->tasks.size());
   }
   /// @return true if each task is done or has an open run
-  [[nodiscard]] bool AllUnderWay() const {
+  [[nodiscard]] bool AllDoneOrOpen() const {
     return this->done + this->open >=
            static_cast<std::int32_t>(this->tasks.size());
   }
@@ -116,7 +116,7 @@
   /// The job became final.
   bool job_final = false;
   /// The other members of the gang run are no longer useful.
-  bool gang_over = false;
+  bool gang_ended = false;
 };
 
 /// All jobs of a placement group and the state of their tasks. The table does
@@ -202,7 +202,7 @@
   /// Sets the state of a job; a final job stops being active.
   void SetState(JobEntry* entry, JobState state);
   /// Returns an occurrence, and creates its steps if it has none.
-  static OccurrenceEntry* Open(JobEntry* entry, std::int32_t number);
+  static OccurrenceEntry* OpenOccurrence(JobEntry* entry, std::int32_t number);
 
  private:
   StepEntry* FindStepEntry(const StepRef& step);
--- a/packages/jobs/src/record_codec.cc
+++ b/packages/jobs/src/record_codec.cc
@@ -276,7 +276,7 @@
   entry->first_open = stored->first_open_occurrence();
   entry->next_to_open = std::max(entry->next_to_open, entry->first_open);
   for (const stored::OccurrenceProgress& one : stored->occurrences()) {
-    OccurrenceEntry* occurrence = JobTable::Open(entry, one.number());
+    OccurrenceEntry* occurrence = JobTable::OpenOccurrence(entry, one.number());
     entry->next_to_open = std::max(entry->next_to_open, one.number() + 1);
     const auto steps = std::min(occurrence->steps.size(),
                                 static_cast<std::size_t>(one.steps_size()));
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -291,7 +291,7 @@
     record->expected_listed_from = this->context->executor->Now();
     this->context->jobs.NoteBegun(run.task.step.job);
     TaskEntry* task = this->context->jobs.FindOpen(run);
-    if (task != nullptr) task->refusals = 0;
+    if (task != nullptr) task->rejected_starts = 0;
     this->context->holds->SendIfDue(session);
   } else if (first && ProvesNotStarted(result.end)) {
     this->OnRefused(session, run, result.end);
@@ -315,7 +315,7 @@
     // Failure: every worker rejects the start order, and it is repeated as fast
     // as they respond.
     const std::int32_t doublings =
-        std::min(task->refusals++, kMaxBackoffDoublings);
+        std::min(task->rejected_starts++, kMaxBackoffDoublings);
     task->not_before = now + kTaskRetryDelay * (1 << doublings);
   }
   if (why == OrderOutcome::kRefused) {
@@ -446,7 +446,7 @@
                              {"worker", Text(session->Incarnation())},
                              {"end", Name(end)},
                              {"counted", effect.matched ? 1 : 0}});
-  if (effect.gang_over) this->StopGang(run);
+  if (effect.gang_ended) this->StopGang(run);
   if (effect.job_final) this->StoreFinal(entry);
   // Failure: all members of a gang complete, the first end is being stored, and
   // a worker is told that it may forget another one. The owner crashes before
--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -102,7 +102,7 @@
     : log(log), metrics(metrics) {}
 
 bool WaitReport::Due(const SchedulingUnit& unit, Instant now) {
-  Instant& report_after = unit.progress->report_after;
+  Instant& report_after = unit.progress->next_wait_report;
   if (report_after == Instant()) report_after = now + kReportInterval;
   if (now < report_after) return false;
   if (now - this->second >= seconds(1)) {
--- a/packages/jobs/tests/job_table_test.cc
+++ b/packages/jobs/tests/job_table_test.cc
@@ -97,7 +97,7 @@
   JobEntry* entry = Add(spec);
   const auto runs = Begin(entry, 0);
   BOOST_TEST(runs[0].run == runs[2].run);
-  BOOST_TEST(End(runs[0], RunEnd::kFailed).gang_over);
+  BOOST_TEST(End(runs[0], RunEnd::kFailed).gang_ended);
   const StepEntry& step = entry->occurrences.at(0).steps[0];
   // A member of the new run must not overlap with one of the old run.
   BOOST_TEST(JobTable::Startable(*entry, step, 0, kLater).empty());
