--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -133,11 +133,11 @@
 }
 
 void Dispatcher::UpdateAnySilent() {
-  this->any_silent =
-      std::any_of(this->context->workers.begin(), this->context->workers.end(),
-                  [](const auto& one) {
-                    return one.second->suspect && !one.second->runs.empty();
-                  });
+  this->any_silent = std::any_of(
+      this->context->workers.begin(), this->context->workers.end(),
+      [](const auto& one) {
+        return one.second->unresponsive && !one.second->runs.empty();
+      });
 }
 
 void Dispatcher::UpdateEjected(Instant now) {
@@ -251,7 +251,7 @@
   for (std::size_t i = 0; i < tasks.size(); ++i) {
     if (!tasks[i].open) continue;
     const WorkerSession* session = this->context->workers.Find(tasks[i].worker);
-    if (session == nullptr || !session->suspect) continue;
+    if (session == nullptr || !session->unresponsive) continue;
     const SessionRun* run = this->FindRun(unit, i);
     if (run != nullptr && run->ordered_at && !run->seen_running) return true;
   }
@@ -286,7 +286,7 @@
   std::size_t down = 0;
   std::size_t idle = 0;
   for (const auto& [id, session] : this->context->workers) {
-    if (session->Quarantined()) ++(session->suspect ? down : kept);
+    if (session->Quarantined()) ++(session->unresponsive ? down : kept);
     if (session->fenced && session->runs.empty()) ++idle;
   }
   const auto all = static_cast<double>(this->context->workers.Size());
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -46,7 +46,7 @@
   if (!session.unstored_ends.empty() && !renewal_due) return false;
   const bool untold = session.durable_end > session.sent_acknowledged_end;
   return !session.runs.empty() || !session.fenced || untold ||
-         (session.suspect && session.listed);
+         (session.unresponsive && session.listed);
 }
 
 HoldOrder HoldLoop::MakeOrder(const WorkerSession& session, Instant now) const {
@@ -58,19 +58,19 @@
   // incarnation that has just responded.
   const bool untold = session.durable_end > session.sent_acknowledged_end;
   const bool verified =
-      !session.suspect && now < session.verified + kAcknowledgeWindow;
+      !session.unresponsive && now < session.verified + kAcknowledgeWindow;
   if (untold && verified) order.acknowledged_end = session.durable_end;
   // Failure: a worker is permanently lost, and each attempt to reach it
   // postpones the time at which its lease is certain to have expired, so that
   // its tasks are never started elsewhere. An unresponsive worker is therefore
   // only queried, and its lease runs out.
-  if (!session.suspect) {
+  if (!session.unresponsive) {
     order.lease_until_ms = session.LeaseUntilMs(now, kWorkerLease);
   }
   const bool checking =
       std::any_of(session.runs.begin(), session.runs.end(),
                   [](const auto& run) { return run.second.stop_acknowledged; });
-  const bool wait = session.fenced && !session.suspect &&
+  const bool wait = session.fenced && !session.unresponsive &&
                     !session.runs.empty() && !checking &&
                     (verified || !untold) && session.unstored_ends.empty();
   order.wait = wait ? this->Wait() : Duration::zero();
@@ -101,12 +101,13 @@
   std::vector<WorkerId> finished;
   for (const auto& [id, session] : this->context->workers) {
     // A run whose start order was never sent has no lease that could expire.
-    if (now >= session->LapsesAt()) {
+    if (now >= session->LeaseExpiresAt()) {
       if (session->HasOrdered()) {
         this->context->runs->HandleWorkerLoss(session.get(),
                                               LossCause::kLeaseLapsed);
       }
-      if (session->suspect) this->context->runs->ReleaseBlocked(session.get());
+      if (session->unresponsive)
+        this->context->runs->ReleaseBlocked(session.get());
     }
     this->SendIfDue(session.get());
     const bool over = !session->listed || session->gone;
@@ -161,7 +162,7 @@
 
 void HoldLoop::OnAnswer(WorkerSession* session, Instant asked,
                         const HoldResult& result) {
-  const bool back = std::exchange(session->suspect, false);
+  const bool back = std::exchange(session->unresponsive, false);
   const bool first = !std::exchange(session->fenced, true);
   session->unanswered_holds = 0;
   session->verified = this->context->executor->Now();
--- a/packages/jobs/src/pass_capacity.cc
+++ b/packages/jobs/src/pass_capacity.cc
@@ -5,7 +5,7 @@
 
 bool TakesTasks(const WorkerSession& session) {
   return session.listed && session.described && !session.gone &&
-         session.fenced && !session.suspect && !session.ejected &&
+         session.fenced && !session.unresponsive && !session.ejected &&
          !session.info.draining && !session.Quarantined();
 }
 
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -216,7 +216,7 @@
   }
   const Instant now = this->context->executor->Now();
   // The lease of a worker that does not respond is not extended, see HoldLoop.
-  order.lease_until_ms = session->suspect
+  order.lease_until_ms = session->unresponsive
                              ? session->LeaseSentMs()
                              : session->LeaseUntilMs(now, kWorkerLease);
   session->NoteLeaseSent(order.lease_until_ms);
@@ -246,8 +246,8 @@
     return nullptr;
   }
   session->NoteClock({.clock_ms = result.clock_ms,
-                      .asked = asked,
-                      .answered = this->context->executor->Now()});
+                      .sent_at = asked,
+                      .received_at = this->context->executor->Now()});
   if (result.end == OrderOutcome::kFenced) {
     this->context->step_down("a worker obeys a newer owner");
     return nullptr;
@@ -266,7 +266,7 @@
   const bool broke =
       result.end == OrderOutcome::kUncertain &&
       this->context->executor->Now() - asked < kConnectionClosedThreshold;
-  if (broke || result.end == OrderOutcome::kDone) record->reached = true;
+  if (broke || result.end == OrderOutcome::kDone) record->start_received = true;
   if (result.end != OrderOutcome::kDone) {
     this->context->log->Write("jobs", "start-not-done",
                               {{"task", Text(run.task)},
@@ -633,7 +633,7 @@
       run, {.worker = session.Incarnation(),
             .certain = certain,
             .survived = record.Survived(),
-            .at_start = record.reached && !record.seen_running,
+            .at_start = record.start_received && !record.seen_running,
             .alone = record.alone && was_there});
 }
 
@@ -655,7 +655,7 @@
   };
   std::vector<DownWorker> silent;
   for (const auto& [id, session] : this->context->workers) {
-    const bool waits = session->suspect && !session->gone;
+    const bool waits = session->unresponsive && !session->gone;
     if (waits && went_down(*session)) silent.push_back(describe(*session));
   }
   if (!went_down(lost)) return {};
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -25,7 +25,7 @@
     : info(std::move(info)),
       number(number),
       known_since(known_since),
-      lapses_at(inherited_until) {}
+      lease_expires_at(inherited_until) {}
 
 void WorkerSession::SetStartTimeIfUnknown(std::int64_t start_unix_ms) {
   if (this->info.incarnation.start_unix_ms == 0) {
@@ -36,7 +36,7 @@
 std::int64_t WorkerSession::LeaseUntilMs(Instant now, Duration lease) const {
   if (!this->clock) return 0;
   return this->clock->clock_ms +
-         WholeMilliseconds(now - this->clock->answered + lease);
+         WholeMilliseconds(now - this->clock->received_at + lease);
 }
 
 void WorkerSession::NoteLeaseSent(std::int64_t until_ms) {
@@ -49,20 +49,20 @@
   // by the computed time.
   const double left_ms = static_cast<double>(until_ms - this->clock->clock_ms) /
                          kSlowestWorkerClock;
-  const Instant lapse = this->clock->answered +
+  const Instant lapse = this->clock->received_at +
                         milliseconds(static_cast<std::int64_t>(left_ms) + 1) +
                         kLeaseExpiryMargin;
-  this->lapses_at = std::max(this->lapses_at, lapse);
+  this->lease_expires_at = std::max(this->lease_expires_at, lapse);
 }
 
 void WorkerSession::NoteClock(ClockReading reading) {
   if (reading.clock_ms == 0) return;
-  const bool older = this->clock && reading.asked < this->clock->asked;
+  const bool older = this->clock && reading.sent_at < this->clock->sent_at;
   if (!older) this->clock = reading;
 }
 
 bool WorkerSession::MarkSilent(Instant now, bool exact) {
-  if (std::exchange(this->suspect, true)) return false;
+  if (std::exchange(this->unresponsive, true)) return false;
   this->silent_since = now;
   this->silence_exact = exact;
   return true;
@@ -70,12 +70,12 @@
 
 bool WorkerSession::HasLeft() const {
   if (!this->info.draining) return false;
-  return !this->suspect ||
+  return !this->unresponsive ||
          this->silent_since + kDrainDetectionDelay >= this->leaves_at;
 }
 
 Instant WorkerSession::LastAnswer() const {
-  return this->clock ? this->clock->answered : Instant();
+  return this->clock ? this->clock->received_at : Instant();
 }
 
 void WorkerSession::AddRun(const RunRef& run, SessionRun record) {
--- a/packages/jobs/src/worker_session.h
+++ b/packages/jobs/src/worker_session.h
@@ -58,7 +58,7 @@
   Instant started_at;
   /// The worker has acknowledged the start order, or the connection broke while
   /// it was being sent.
-  bool reached = false;
+  bool start_received = false;
   /// When the first start order was sent. Not set before that, nor for a run
   /// that a previous owner ordered.
   std::optional<Instant> ordered_at;
@@ -91,9 +91,9 @@
 struct ClockReading {
   std::int64_t clock_ms = 0;
   /// When the order was sent.
-  Instant asked;
+  Instant sent_at;
   /// When the response arrived.
-  Instant answered;
+  Instant received_at;
 };
 
 /// One incarnation of a worker as seen by the owner: its runs, its lease and
@@ -136,7 +136,9 @@
   [[nodiscard]] Instant LastAnswer() const;
   /// @return the time at which the worker must have killed all runs unless a
   ///   lease is sent again
-  [[nodiscard]] Instant LapsesAt() const { return this->lapses_at; }
+  [[nodiscard]] Instant LeaseExpiresAt() const {
+    return this->lease_expires_at;
+  }
 
   void AddRun(const RunRef& run, SessionRun record);
   void RemoveRun(const RunRef& run);
@@ -180,10 +182,10 @@
   /// Another incarnation of the worker has responded, so this one has ended.
   bool gone = false;
   /// The last hold or order got no response.
-  bool suspect = false;
-  /// When the worker stopped responding; valid while `suspect`.
+  bool unresponsive = false;
+  /// When the worker stopped responding; valid while `unresponsive`.
   Instant silent_since;
-  /// A connection to the worker broke at that time; valid while `suspect`.
+  /// A connection to the worker broke at that time; valid while `unresponsive`.
   bool silence_exact = false;
   /// Earliest announced stop of the worker; valid while it drains.
   Instant leaves_at;
@@ -218,7 +220,7 @@
   std::optional<ClockReading> clock;
   /// Latest lease end that was sent, in milliseconds on the worker's clock.
   std::int64_t lease_sent_ms = 0;
-  Instant lapses_at;
+  Instant lease_expires_at;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/tests/worker_session_test.cc
+++ b/packages/jobs/tests/worker_session_test.cc
@@ -27,33 +27,36 @@
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   const Instant answered = kStart + seconds(1);
   session.NoteClock(
-      {.clock_ms = 50'000, .asked = kStart, .answered = answered});
+      {.clock_ms = 50'000, .sent_at = kStart, .received_at = answered});
   const Instant now = answered + milliseconds(96);
   const std::int64_t until = session.LeaseUntilMs(now, milliseconds(4500));
   BOOST_TEST(until == 50'000 + 96 + 4500);
   session.NoteLeaseSent(until);
   const auto slowest = milliseconds(static_cast<std::int64_t>(4596 / 0.98));
-  BOOST_TEST((session.LapsesAt() > answered + slowest));
-  BOOST_TEST((session.LapsesAt() < answered + slowest + milliseconds(400)));
+  BOOST_TEST((session.LeaseExpiresAt() > answered + slowest));
+  BOOST_TEST(
+      (session.LeaseExpiresAt() < answered + slowest + milliseconds(400)));
 }
 
 BOOST_AUTO_TEST_CASE(repeated_lease_does_not_postpone_expiry) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
-  session.NoteClock({.clock_ms = 1000, .asked = kStart, .answered = kStart});
+  session.NoteClock(
+      {.clock_ms = 1000, .sent_at = kStart, .received_at = kStart});
   session.NoteLeaseSent(session.LeaseUntilMs(kStart, milliseconds(4500)));
-  const Instant lapse = session.LapsesAt();
+  const Instant lapse = session.LeaseExpiresAt();
   session.NoteLeaseSent(session.LeaseSentMs());
   session.NoteLeaseSent(0);
-  BOOST_TEST((session.LapsesAt() == lapse));
+  BOOST_TEST((session.LeaseExpiresAt() == lapse));
 }
 
 BOOST_AUTO_TEST_CASE(older_clock_reading_is_ignored) {
   WorkerSession session(0, MakeInfo(), kStart, Instant::min());
   session.NoteClock({.clock_ms = 2000,
-                     .asked = kStart + seconds(1),
-                     .answered = kStart + seconds(1)});
-  session.NoteClock(
-      {.clock_ms = 1000, .asked = kStart, .answered = kStart + seconds(2)});
+                     .sent_at = kStart + seconds(1),
+                     .received_at = kStart + seconds(1)});
+  session.NoteClock({.clock_ms = 1000,
+                     .sent_at = kStart,
+                     .received_at = kStart + seconds(2)});
   BOOST_TEST(session.LeaseUntilMs(kStart + seconds(1), Duration::zero()) ==
              2000);
 }
