--- a/packages/jobs/src/progress_writer.cc
+++ b/packages/jobs/src/progress_writer.cc
@@ -72,8 +72,8 @@
   this->Flush();
 }
 
-bool ProgressWriter::Pending(const JobId& job) const {
-  return this->rows.contains(job) || this->busy.contains(job);
+bool ProgressWriter::HasPendingWrite(const JobId& job) const {
+  return this->rows.contains(job) || this->jobs_in_flight.contains(job);
 }
 
 void ProgressWriter::FlushAt(Instant moment) {
@@ -93,7 +93,7 @@
     return;
   }
   Batch batch;
-  Transaction transaction = this->TakeRows(&batch);
+  Transaction transaction = this->BuildTransaction(&batch);
   if (batch.empty()) return;
   this->next_write = now + this->interval;
   ++this->in_flight;
@@ -102,13 +102,13 @@
                                            const CommitResult& result) mutable {
                         --this->in_flight;
                         for (const SentRow& row : batch)
-                          this->busy.erase(row.job);
+                          this->jobs_in_flight.erase(row.job);
                         this->OnWritten(std::move(batch), result);
                       }));
   if (!this->order.empty()) this->FlushAt(this->next_write);
 }
 
-Transaction ProgressWriter::TakeRows(Batch* batch) {
+Transaction ProgressWriter::BuildTransaction(Batch* batch) {
   Transaction transaction;
   transaction.conditions.push_back(OwnerCondition(this->token));
   std::deque<JobId> later;
@@ -117,7 +117,7 @@
              kMaxTransactionEntries) {
     const JobId id = this->order.front();
     this->order.pop_front();
-    if (this->busy.contains(id)) {
+    if (this->jobs_in_flight.contains(id)) {
       // The revision is known only after the row in flight is acknowledged.
       later.push_back(id);
       continue;
@@ -131,7 +131,7 @@
       continue;
     }
     AddRow(*entry, &transaction);
-    this->busy.insert(id);
+    this->jobs_in_flight.insert(id);
     batch->push_back({id, std::move(waiters), IsFinal(entry->state)});
   }
   this->order.insert(this->order.begin(), later.begin(), later.end());
--- a/packages/jobs/src/progress_writer.h
+++ b/packages/jobs/src/progress_writer.h
@@ -51,13 +51,13 @@
   /// @param durable called once the write is stored; may be empty
   void Write(const JobId& job, std::function<void()> durable);
   /// @return true if a write for the job is not stored yet
-  [[nodiscard]] bool Pending(const JobId& job) const;
+  [[nodiscard]] bool HasPendingWrite(const JobId& job) const;
   /// @return the store revision of the last completed write; higher than the
   ///   token of this owner and lower than that of any later owner
   [[nodiscard]] Revision LatestRevision() const { return this->latest; }
   /// @return the number of jobs whose writes are waiting or in flight
   [[nodiscard]] std::size_t Backlog() const {
-    return this->rows.size() + this->busy.size();
+    return this->rows.size() + this->jobs_in_flight.size();
   }
 
  private:
@@ -72,7 +72,7 @@
 
   void Flush();
   void FlushAt(Instant moment);
-  Transaction TakeRows(Batch* batch);
+  Transaction BuildTransaction(Batch* batch);
   void OnWritten(Batch batch, const CommitResult& result);
   void OnConflict(Batch batch, const CommitResult& result);
   void Requeue(Batch batch);
@@ -90,7 +90,7 @@
   std::deque<JobId> order;
   std::unordered_map<JobId, Waiters> rows;
   /// Jobs whose rows are in flight.
-  std::unordered_set<JobId> busy;
+  std::unordered_set<JobId> jobs_in_flight;
   std::size_t in_flight = 0;
   Instant next_write;
   bool timer_set = false;
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -454,7 +454,7 @@
   const bool tells = end == RunEnd::kDone || end == RunEnd::kFailed;
   const bool waits =
       effect.durable ||
-      (tells && this->context->writer->Pending(run.task.step.job));
+      (tells && this->context->writer->HasPendingWrite(run.task.step.job));
   if (waits) {
     this->context->writer->Write(run.task.step.job, std::move(durable));
   }
--- a/packages/jobs/src/write_gate.cc
+++ b/packages/jobs/src/write_gate.cc
@@ -22,11 +22,11 @@
 
 }  // namespace
 
-void WriteGate::OnSent(Instant sent) { this->open.insert(sent); }
+void WriteGate::OnSent(Instant sent) { this->unanswered.insert(sent); }
 
 void WriteGate::OnAnswered(Instant sent, Instant now) {
-  const auto found = this->open.find(sent);
-  if (found != this->open.end()) this->open.erase(found);
+  const auto found = this->unanswered.find(sent);
+  if (found != this->unanswered.end()) this->unanswered.erase(found);
   const Duration took = now - sent;
   const Duration fallen = this->typical_latency +
                           (took - this->typical_latency) / kLatencyDecayDivisor;
@@ -35,13 +35,13 @@
 }
 
 void WriteGate::OnUnanswered(Instant sent, Instant now) {
-  const auto found = this->open.find(sent);
-  if (found != this->open.end()) this->open.erase(found);
-  this->failed_at = now;
+  const auto found = this->unanswered.find(sent);
+  if (found != this->unanswered.end()) this->unanswered.erase(found);
+  this->last_failure = now;
 }
 
 void WriteGate::NoteAlive(Instant sent) {
-  this->alive_at = std::max(this->alive_at, sent);
+  this->last_answered_send = std::max(this->last_answered_send, sent);
 }
 
 Duration WriteGate::OverdueAfter() const {
@@ -49,13 +49,13 @@
 }
 
 std::optional<Instant> WriteGate::UnresponsiveSince(Instant now) const {
-  if (this->failed_at && *this->failed_at >= this->alive_at) {
-    return this->failed_at;
+  if (this->last_failure && *this->last_failure >= this->last_answered_send) {
+    return this->last_failure;
   }
   // Writes sent before an answered call are no evidence of an outage: only
   // their responses were lost.
-  const auto oldest = this->open.upper_bound(this->alive_at);
-  if (oldest == this->open.end()) return std::nullopt;
+  const auto oldest = this->unanswered.upper_bound(this->last_answered_send);
+  if (oldest == this->unanswered.end()) return std::nullopt;
   const Instant overdue = *oldest + this->OverdueAfter();
   if (now < overdue) return std::nullopt;
   return overdue;
--- a/packages/jobs/src/write_gate.h
+++ b/packages/jobs/src/write_gate.h
@@ -48,11 +48,11 @@
   [[nodiscard]] std::optional<Instant> UnresponsiveSince(Instant now) const;
 
   /// Send times of the writes without a response.
-  std::multiset<Instant> open;
+  std::multiset<Instant> unanswered;
   /// Latest send time of a call that was answered.
-  Instant alive_at;
+  Instant last_answered_send;
   /// Time at which the last write ended without a response.
-  std::optional<Instant> failed_at;
+  std::optional<Instant> last_failure;
   /// Response time of writes; rises at once and decays slowly.
   Duration typical_latency{0};
 };
--- a/packages/jobs/tests/cell_worker_test.cc
+++ b/packages/jobs/tests/cell_worker_test.cc
@@ -159,8 +159,8 @@
   worker->refuses_all = true;
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 1000, seconds(1))}));
   cell->Time().RunFor(seconds(10));
-  constexpr std::size_t kMostTries = 30;
-  BOOST_TEST(cell->Log().Count("start-not-done") < kMostTries);
+  constexpr std::size_t kMaxStarts = 30;
+  BOOST_TEST(cell->Log().Count("start-not-done") < kMaxStarts);
   worker->refuses_all = false;
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(5)));
   CheckInvariants(cell.get());
--- a/packages/jobs/tests/outage_detector_test.cc
+++ b/packages/jobs/tests/outage_detector_test.cc
@@ -34,7 +34,7 @@
       this->detector.Note(Down(i, since, JobId(Numbered("job", i))));
     }
   }
-  Outage With(const DownWorker& down) {
+  Outage FindOutage(const DownWorker& down) {
     return this->detector.FindOutage(down, {}, kWorkers);
   }
 
@@ -47,13 +47,14 @@
 
 BOOST_AUTO_TEST_CASE(workers_lost_one_by_one_are_not_an_outage) {
   for (int i = 0; i < 20; ++i) Note(i, i, kNow + milliseconds(400) * i);
-  const Outage outage = With(Down(30, kNow + seconds(2), JobId("j")));
+  const Outage outage = FindOutage(Down(30, kNow + seconds(2), JobId("j")));
   BOOST_TEST(!outage.RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_CASE(many_simultaneous_losses_rule_out_a_job_as_cause) {
   Note(0, 7, kNow);
-  const Outage outage = With(Down(30, kNow + milliseconds(20), JobId("j")));
+  const Outage outage =
+      FindOutage(Down(30, kNow + milliseconds(20), JobId("j")));
   BOOST_TEST(outage.unexplained == 9U);
   BOOST_TEST(outage.RulesOutAsCause(JobId("j")));
 }
@@ -63,7 +64,7 @@
 BOOST_AUTO_TEST_CASE(losses_of_a_jobs_own_workers_do_not_rule_it_out) {
   const JobId wide("wide");
   for (int i = 0; i < 20; ++i) detector.Note(Down(i, kNow, wide));
-  const Outage outage = With(Down(30, kNow, wide));
+  const Outage outage = FindOutage(Down(30, kNow, wide));
   BOOST_TEST(!outage.RulesOutAsCause(wide));
   BOOST_TEST(outage.RulesOutAsCause(JobId("beside")));
 }
@@ -76,15 +77,16 @@
     down.quarantined = true;
     detector.Note(down);
   }
-  BOOST_TEST(!With(Down(30, kNow, JobId("j"))).RulesOutAsCause(JobId("j")));
+  BOOST_TEST(
+      !FindOutage(Down(30, kNow, JobId("j"))).RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_CASE(inexact_loss_times_use_the_wider_window) {
   Note(0, 7, kNow);
   DownWorker late = Down(30, kNow + milliseconds(400), JobId("j"));
-  BOOST_TEST(!With(late).RulesOutAsCause(JobId("j")));
+  BOOST_TEST(!FindOutage(late).RulesOutAsCause(JobId("j")));
   late.exact = false;
-  BOOST_TEST(With(late).RulesOutAsCause(JobId("j")));
+  BOOST_TEST(FindOutage(late).RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
