--- a/packages/jobs/src/job.cc
+++ b/packages/jobs/src/job.cc
@@ -15,10 +15,11 @@
   for (std::size_t i = 0; i < step.after.size(); ++i) {
     const std::int32_t earlier = step.after[i];
     if (earlier >= 0 && earlier < static_cast<std::int32_t>(index)) continue;
-    return SpecProblem{FieldOf(index, "after[" + std::to_string(i) + "]"),
-                       std::to_string(earlier) +
-                           " is no earlier step (allowed: 0 to " +
-                           std::to_string(index) + ", without the last)"};
+    return SpecProblem{
+        FieldOf(index, "after[" + std::to_string(i) + "]"),
+        std::to_string(earlier) +
+            " is not the index of an earlier step (allowed: 0 to " +
+            std::to_string(index) + ", exclusive)"};
   }
   return std::nullopt;
 }
@@ -32,11 +33,11 @@
   }
   const Resources& each = step.each;
   if (each.cpu_milli < 0 || each.memory_mb < 0 || each.accelerators < 0) {
-    return SpecProblem{FieldOf(index, "each"), "no amount may be negative"};
+    return SpecProblem{FieldOf(index, "each"), "amounts must not be negative"};
   }
   if (step.max_per_worker < 0 || step.max_unavailable < 0) {
     return SpecProblem{FieldOf(index, "max_per_worker"),
-                       "no bound may be negative"};
+                       "limits must not be negative"};
   }
   return CheckAfter(step, index);
 }
@@ -52,7 +53,7 @@
   }
   if (schedule.occurrences > 1 && schedule.interval_ms < 1) {
     return SpecProblem{"schedule.interval_ms",
-                       "a job that repeats needs an interval"};
+                       "a recurring job requires a positive interval"};
   }
   return std::nullopt;
 }
@@ -155,7 +156,7 @@
   }
   if (tasks > limits.max_tasks) {
     return SpecProblem{"steps", std::to_string(tasks) +
-                                    " tasks in all (allowed: " +
+                                    " tasks in total (allowed: " +
                                     std::to_string(limits.max_tasks) + ")"};
   }
   return CheckSchedule(spec.schedule, limits);
--- a/packages/jobs/src/job_json.cc
+++ b/packages/jobs/src/job_json.cc
@@ -31,7 +31,7 @@
     const auto number = value->get<double>();
     const bool in_range = number >= -static_cast<double>(most) &&
                           number <= static_cast<double>(most);
-    if (!in_range) return this->Fail(name, "a smaller number"), otherwise;
+    if (!in_range) return this->Fail(name, "a number in range"), otherwise;
     return value->is_number_integer() ? value->get<std::int64_t>()
                                       : static_cast<std::int64_t>(number);
   }
@@ -58,14 +58,14 @@
     const Json* value = this->Find(name);
     if (value == nullptr) return numbers;
     if (!value->is_array()) {
-      this->Fail(name, "an array of whole numbers");
+      this->Fail(name, "an array of integers");
       return numbers;
     }
     for (const Json& one : *value) {
       const bool whole = one.is_number_integer() &&
                          one.get<std::int64_t>() >= -kMaxInt32 &&
                          one.get<std::int64_t>() <= kMaxInt32;
-      if (!whole) this->Fail(name, "an array of whole numbers");
+      if (!whole) this->Fail(name, "an array of integers");
       if (whole) numbers.push_back(one.get<std::int32_t>());
     }
     return numbers;
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -249,7 +249,7 @@
                       .sent_at = asked,
                       .received_at = this->context->executor->Now()});
   if (result.end == OrderOutcome::kFenced) {
-    this->context->step_down("a worker obeys a newer owner");
+    this->context->step_down("a worker accepted the token of a newer owner");
     return nullptr;
   }
   return session;
@@ -687,11 +687,11 @@
   const std::string lost = entry->crashes.at(task).Text();
   this->context->log->Write("jobs", "task-given-up",
                             {{"task", Text(task)},
-                             {"reason", "workers were lost under it"},
+                             {"reason", "workers were lost while running it"},
                              {"lost_workers", lost}});
   this->context->metrics->Count("tasks_given_up", "reason=lost-workers");
-  this->context->jobs.Fail(
-      entry, "workers were lost under task " + Text(task) + ": " + lost);
+  this->context->jobs.Fail(entry, "workers were lost while running task " +
+                                      Text(task) + ": " + lost);
   this->StoreFinal(entry);
 }
 
--- a/packages/jobs/tests/cell_crash_test.cc
+++ b/packages/jobs/tests/cell_crash_test.cc
@@ -38,8 +38,9 @@
   const auto status = cell->AskStatus(job->job.id);
   BOOST_REQUIRE(status.has_value());
   BOOST_TEST((status->state == JobState::kFailed));
-  BOOST_TEST(status->cause.find("workers were lost under task job0.0.0.0") !=
-             std::string::npos);
+  BOOST_TEST(
+      status->cause.find("workers were lost while running task job0.0.0.0") !=
+      std::string::npos);
   CheckInvariants(cell.get());
 }
 
