--- a/packages/jobs/include/mustardproxy/jobs/job.h
+++ b/packages/jobs/include/mustardproxy/jobs/job.h
@@ -170,7 +170,8 @@
   kRunning,
   /// All tasks have completed successfully.
   kCompleted,
-  /// A task or gang has failed as often as its queue allows.
+  /// A task or gang has failed as often as its queue allows, or too many
+  /// workers were lost while they ran one task.
   kFailed,
   kCancelled,
 };
