--- a/packages/core/src/lifecycle/adoption.cc
+++ b/packages/core/src/lifecycle/adoption.cc
@@ -13,17 +13,18 @@
 
 constexpr Duration kListInterval = std::chrono::seconds(5);
 constexpr Duration kReadDelay = std::chrono::milliseconds(500);
-/// Pause after somebody else was faster.
+/// Delay after another process fenced the journal first.
 constexpr Duration kFencedDelay = std::chrono::seconds(10);
 
-/// How long a journal must be without a live holder before a process of some
-/// rank adopts it. The wait covers a heartbeat that is late; a wrong guess
-/// costs only a fence.
+/// How long a journal must be without a live holder before a process adopts it,
+/// by the rank of that process. The delay covers a late heartbeat; an adoption
+/// that was not needed costs only a fence.
 struct AdoptionDelays {
   Duration preferred;
-  /// Not the preferred adopter, which may be cut off from the platform itself.
+  /// For processes other than the preferred adopter, which may have no
+  /// connection to the platform.
   Duration other;
-  /// Owns no worker, so that the work would be of no use to it.
+  /// For processes that own no worker and therefore can't run the work.
   Duration without_workers;
 };
 constexpr AdoptionDelays kAfterLoss = {std::chrono::seconds(3),
@@ -61,8 +62,9 @@
     return false;
   }
   const std::optional<NamedProcess> writer = WriterOf(journal);
-  // Only workers of the own data centre can be asked what they run, and a data
-  // centre that is cut off from this one may still be at work.
+  // Only workers of the own data centre can be queried for their tasks, and
+  // another data centre that is unreachable from here may still be running the
+  // work.
   if (!writer || !this->parts->IsLocal(writer->process)) {
     return false;
   }
@@ -111,7 +113,7 @@
   if (now < orphan.next_read || this->unfenced_batches.contains(journal)) {
     return;
   }
-  // The first look tells whether it was handed over.
+  // The first read shows whether the journal was handed over.
   const Instant due = orphan.read ? this->DueAt(journal, orphan) : now;
   if (now < due) {
     this->next_list = std::min(this->next_list, due);
@@ -154,9 +156,10 @@
   this->unfenced_batches.erase(found);
   this->parts->context.Record(
       TextEvent(TimelineKind::kJournalAdopted, journal.Text()));
-  // Failure: this process lost its workers while the record was on its way, and
-  // has handed the journal on. Work taken up now could never be ended, and
-  // would show as running to everybody who asks. The next adopter reads it.
+  // Failure: this process lost its workers while the record was being written,
+  // and has already handed the journal over. Work resumed now could never be
+  // completed and would be reported as running. The next adopter reads it from
+  // the journal.
   if (this->parts->journals.IsClosing(journal)) {
     return;
   }
--- a/packages/core/src/lifecycle/adoption.h
+++ b/packages/core/src/lifecycle/adoption.h
@@ -13,23 +13,24 @@
 
 struct Parts;
 
-/// Takes over journals whose process is gone, so that its deferred work
-/// finishes.
+/// Adopts journals that no live process holds, so that their deferred work is
+/// completed.
 ///
-/// The *adopted* record takes the sequence number of the dead writer's next
-/// append. A writer that was only paused finds that number taken and stops, so
-/// two processes never act on one journal.
+/// The *adopted* record uses the sequence number of the former writer's next
+/// append. A former writer that was only paused finds that number in use and
+/// stops writing, so two processes never act on one journal.
 class Adoption {
  public:
   explicit Adoption(Parts* parts) : parts(parts) {}
 
   void On(const JournalsListed& event);
   void On(const JournalRead& event);
-  /// The fence of an adopted journal is in the platform.
+  /// Handles the *adopted* record, the fence of a journal, becoming durable.
   void OnAdopted(const JournalId& journal, const AdoptedRecord& record);
-  /// The journal belongs to another process now.
+  /// Handles the loss of a journal to another process.
   void OnFenced(const JournalId& journal);
-  /// A peer is gone or is leaving: its journals may be free.
+  /// Lists the journals soon. Called when a peer was lost or is stopping, since
+  /// its journals may have become free.
   void ScheduleList();
   void Tick();
   [[nodiscard]] Instant NextWakeup() const { return this->next_list; }
@@ -37,25 +38,25 @@
  private:
   struct Orphan {
     Instant free_since;
-    /// Not looked at again before this moment.
+    /// The journal is not read before this time.
     Instant next_read;
-    /// It was read since it was found free.
+    /// True once the journal was read after it was found free.
     bool read = false;
     bool handed_over = false;
   };
 
   [[nodiscard]] bool IsFree(const JournalId& journal) const;
-  /// @return when this process should adopt it
+  /// @return the earliest time at which this process adopts the journal
   [[nodiscard]] Instant DueAt(const JournalId& journal,
                               const Orphan& orphan) const;
-  /// @return true if the preferred adopter owns no worker at present
+  /// @return true if the preferred adopter currently owns no worker
   [[nodiscard]] bool PreferredHasNoWorkers(const JournalId& journal) const;
   void ReadIfDue(const JournalId& journal);
 
   Parts* parts;
   Instant next_list;
   std::map<JournalId, Orphan> orphans;
-  /// What was read of journals whose fence is not durable yet.
+  /// Batches read from journals whose fence is not durable yet.
   std::map<JournalId, std::vector<JournalBatch>> unfenced_batches;
 };
 
--- a/packages/core/src/lifecycle/attempt.cc
+++ b/packages/core/src/lifecycle/attempt.cc
@@ -51,8 +51,8 @@
       })) {
     return AttemptResult::kLost;
   }
-  // With a task that was stopped there is no whole answer, whatever the others
-  // reported.
+  // If any task was stopped there is no complete answer, whatever the other
+  // tasks reported.
   const bool whole =
       std::ranges::all_of(this->slots, [](const AttemptSlot& slot) {
         return EndedWith(slot, TaskEnd::kFinished) ||
--- a/packages/core/src/lifecycle/attempt.h
+++ b/packages/core/src/lifecycle/attempt.h
@@ -9,15 +9,15 @@
 
 namespace mustardproxy::detail {
 
-/// How far one task of an attempt is, as far as this process knows.
+/// State of one task of an attempt as known to this process.
 enum class SlotState {
-  /// Planned or sent; no word from the worker yet.
+  /// Planned or sent; the worker has not responded yet.
   kPending,
   kRunning,
-  /// It provably did not run and never will.
+  /// It did not run, and it is certain that it never will.
   kNeverStarted,
   kEnded,
-  /// It may have run, and certainly does not run any more.
+  /// It may have run; it is certain that it no longer runs.
   kLost,
 };
 
@@ -26,46 +26,45 @@
   TaskId task;
   WorkerId worker;
   SlotState state = SlotState::kPending;
-  /// Set once `kEnded`.
+  /// Valid if `state` is `kEnded`.
   EndedTask ended;
-  /// This process had lost the worker's lease before it sent anything, which
-  /// does not speak against the worker.
+  /// This process lost the worker's lease before it sent the start. This is not
+  /// counted as a failure of the worker.
   bool lease_lost = false;
 };
 
-/// What an attempt whose tasks are all settled amounts to.
+/// Result of an attempt whose tasks are all settled.
 enum class AttemptResult {
-  /// No task of it ran.
+  /// No task ran.
   kNeverStarted,
   kFinished,
-  /// All tasks ended by themselves, and one reported failure.
+  /// All tasks ended by themselves and at least one reported failure.
   kFailed,
-  /// A task was stopped, or did not start while others of its gang ran.
+  /// A task was stopped, or did not start while other tasks of its gang ran.
   kStopped,
-  /// The end of a task can't be learnt any more.
+  /// The result of a task can no longer be determined.
   kLost,
 };
 
-/// One try at a request: the tasks that were placed together.
+/// One attempt to run a request: the tasks that were placed together.
 struct Attempt {
   std::int32_t number = 0;
   std::vector<AttemptSlot> slots;
-  /// Stop orders are out for all of its tasks.
+  /// Stop orders were sent for all of its tasks.
   bool stopping = false;
-  /// Stopped to make room for more urgent work.
+  /// Stopped to free resources for more urgent work.
   bool preempted = false;
 
-  /// @return true if nothing was sent, since this process had lost the lease
+  /// @return true if no start was sent because this process had lost the lease
   [[nodiscard]] bool LeaseLost() const;
   /// @return workers that failed in this attempt
   [[nodiscard]] std::vector<WorkerId> FailedWorkers() const;
   [[nodiscard]] AttemptSlot* Find(const TaskId& task);
-  /// @return true once no task of it runs or will run
+  /// @return true once no task runs or will run
   [[nodiscard]] bool Settled() const;
-  /// @return true unless every task provably did not run
+  /// @return true unless it is certain that no task ran
   [[nodiscard]] bool MayHaveRun() const;
-  /// @return true if it can't come to a whole end any more, since a task did
-  /// not
+  /// @return true if the attempt can no longer complete because a task did not
   ///   start, was lost or was stopped
   [[nodiscard]] bool CanNotComplete() const;
   /// @pre `Settled()`
--- a/packages/core/src/lifecycle/configuration_flow.cc
+++ b/packages/core/src/lifecycle/configuration_flow.cc
@@ -13,9 +13,9 @@
 
 void ConfigurationFlow::On(const ConfigurationArrived& event) {
   CoreContext& context = this->parts->context;
-  // Documents arrive from the platform and from peers in any order, and a
-  // restored platform may even serve an old one; an accepted change must never
-  // be taken back by that.
+  // Configurations arrive from the platform and from peers in any order, and a
+  // platform restored from a backup may serve an old one. An older version must
+  // never replace an accepted change.
   if (event.configuration.version <= context.configuration.version) {
     return;
   }
--- a/packages/core/src/lifecycle/configuration_flow.h
+++ b/packages/core/src/lifecycle/configuration_flow.h
@@ -8,14 +8,14 @@
 
 struct Parts;
 
-/// Which configuration is in force here. It only ever goes forward.
+/// Applies configurations. The version in force never decreases.
 class ConfigurationFlow {
  public:
   explicit ConfigurationFlow(Parts* parts) : parts(parts) {}
 
   void On(const ConfigurationArrived& event);
-  /// Keeps or gives up the watch at the platform, and fetches what a peer has
-  /// newer.
+  /// Starts or stops the watch at the platform, and fetches a newer
+  /// configuration from a peer.
   void Tick();
   [[nodiscard]] Instant NextWakeup() const { return this->next_fetch; }
 
--- a/packages/core/src/lifecycle/core_context.h
+++ b/packages/core/src/lifecycle/core_context.h
@@ -12,13 +12,13 @@
 
 namespace mustardproxy::detail {
 
-/// What every part of the core may read, and where its actions go.
+/// State shared by all parts of the core, and the sink of their actions.
 struct CoreContext {
   CoreOptions options;
   Configuration configuration;
-  /// Moment of the event that is being handled.
+  /// Time of the event being handled.
   Instant now;
-  /// Only valid while an event is handled.
+  /// Valid only while an event is handled.
   Actions* actions = nullptr;
   std::mt19937_64 random;
   bool stopping = false;
@@ -74,7 +74,7 @@
   return event;
 }
 
-/// A time line event with only a text.
+/// A time line event that carries only a text.
 inline TimelineEvent TextEvent(TimelineKind kind, std::string text) {
   TimelineEvent event;
   event.kind = kind;
--- a/packages/core/src/lifecycle/deferred_acceptance.cc
+++ b/packages/core/src/lifecycle/deferred_acceptance.cc
@@ -7,12 +7,12 @@
 #include "lifecycle/parts.h"
 #include "mustardproxy/core/error.h"
 
-// How deferred work is taken on.
+// Admission and acceptance of deferred work.
 namespace mustardproxy::detail {
 
 namespace {
 
-/// Longest time until the caller learns that the work was not accepted.
+/// Time after which an unconfirmed *accepted* record is answered "unknown".
 constexpr Duration kAcceptTimeout = std::chrono::seconds(5);
 constexpr std::int32_t kTooLargeStatus = 413;
 
@@ -74,14 +74,14 @@
 Admission DeferredFlow::CheckAdmission(const ActiveRequest& entry) {
   Admission admission =
       this->parts->placing.Enqueue(entry, entry.arrived + entry.terms.max_wait);
-  // Only a check: it joins the queue once its record is durable.
+  // This is only a check: the work is queued once its record is durable.
   this->parts->scheduler.Cancel(entry.request.id);
   return admission;
 }
 
 void DeferredFlow::OnAcceptTimeout(ActiveRequest* entry) {
-  // The append was sent, and may take effect though no answer came: then this
-  // process or an adopter runs the work. So "not run" would be a lie.
+  // The append was sent and may take effect although it was not confirmed; this
+  // process or an adopter then runs the work. So "not run" could be false.
   this->parts->answers.AnswerUnknown(
       entry, Error::kJournalUnavailable,
       "it is not known whether the work was recorded; ask for its state");
@@ -94,9 +94,9 @@
     return;
   }
   this->ConfirmAccepted(record.request.id);
-  // Failure: the journal was handed over while this record was on its way. Its
-  // adopter runs the work. Here it could never be started, for want of a
-  // journal, and would show as queued to everybody who asks.
+  // Failure: the journal was handed over while this record was being written,
+  // so its adopter runs the work. Without the journal the work could never
+  // start here and would be reported as queued.
   if (this->parts->journals.IsClosing(journal)) {
     return;
   }
--- a/packages/core/src/lifecycle/deferred_ends.cc
+++ b/packages/core/src/lifecycle/deferred_ends.cc
@@ -5,18 +5,18 @@
 #include "lifecycle/parts.h"
 #include "mustardproxy/core/error.h"
 
-// What follows when an attempt at deferred work is over, and how it ends.
+// Handling of settled attempts at deferred work, and its end.
 namespace mustardproxy::detail {
 
 namespace {
 
-/// Pause after a failed attempt.
+/// Delay after a failed attempt.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
-/// Attempts that were not started and are repeated without a pause.
+/// Consecutive refused starts that are retried without a delay.
 constexpr std::int32_t kImmediateRetries = 2;
 constexpr Duration kMaxRetryDelay = std::chrono::seconds(5);
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Workers that may be lost under one piece of work.
+/// Number of workers lost while running the work at which it fails.
 constexpr std::int32_t kMaxLosses = 5;
 
 Answer UnknownEnd(std::string text) {
@@ -54,8 +54,8 @@
 }
 
 void DeferredFlow::HandleRefusal(DeferredWork* work) {
-  // Each attempt costs a write at the platform, so a worker that refuses again
-  // and again must not be tried at full speed.
+  // Each attempt costs a write to the platform, so starts that are refused
+  // repeatedly are retried with an increasing delay.
   ++work->refusals;
   if (work->refusals <= kImmediateRetries) {
     this->Requeue(work);
--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -9,17 +9,17 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Accepted work is never given up for lack of room; the scheduler still orders
-/// it by this moment.
+/// Accepted work never expires in the queue for lack of resources; this horizon
+/// only gives the scheduler a deadline to order it by.
 constexpr Duration kPlacementHorizon = std::chrono::hours(24 * 365 * 10);
-/// Attempt numbers that one holder of a journal uses.
+/// Size of the range of attempt numbers of one holder of a journal.
 constexpr std::int32_t kAttemptsPerHolder = 1000;
-/// Longest time that a placement may wait for its *started* records while it
-/// keeps its room from other work.
+/// Longest time that a placement may hold its resources while its *started*
+/// records are not durable.
 constexpr Duration kRecordTimeout = std::chrono::seconds(1);
-/// Pause after a failed attempt.
+/// Delay after a failed attempt.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
-/// Longest time that work waits for another worker than those it failed on.
+/// Longest time that work avoids the workers on which it failed.
 constexpr Duration kMaxAvoidTime = std::chrono::seconds(3);
 constexpr Duration kParkDelay = std::chrono::seconds(1);
 
@@ -148,7 +148,7 @@
   this->parts->placing.RecordHealth(update, work->request.service);
   this->UpdateSlot(work, update);
   if (work->phase == DeferredPhase::kRecording) {
-    // A placement that is not sent yet has lost its worker.
+    // A placement that was not sent yet has lost its worker.
     this->WithdrawRecording(work);
     this->timers.Clear(work->request.id);
     this->Requeue(work);
@@ -219,7 +219,7 @@
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, work->request.service);
-  // A task that may run only once can't be stopped half way.
+  // A non-idempotent task can't be stopped and restarted.
   if (work->phase != DeferredPhase::kRunning || !terms || !terms->idempotent) {
     return;
   }
@@ -265,10 +265,10 @@
   work.journal = entry.journal;
   work.accepted = this->parts->context.now;
   // The former holder may have planned attempts that are not in its journal;
-  // their task ids must not come up again as those of other tasks.
+  // their task ids must not be reused for other tasks.
   work.last_attempt =
       (entry.attempt / kAttemptsPerHolder + 1) * kAttemptsPerHolder;
-  // Earlier attempts are not told apart in the journal.
+  // The journal does not distinguish the outcomes of earlier attempts.
   work.may_have_run = entry.attempt > 1;
   ++this->sizes[entry.journal];
   DeferredWork* added =
@@ -290,8 +290,9 @@
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, entry.request.service);
-  // Records of one gang may lie in two batches: then the rest was never sent,
-  // since every record is durable before the first start.
+  // The records of one gang may be split across two batches. If some are
+  // missing, no task of the gang was sent, since all records must be durable
+  // before the first start.
   const auto expected = terms ? terms->tasks : 1;
   if (std::ssize(entry.started) < expected) {
     added->attempt.slots.push_back(
@@ -343,14 +344,14 @@
       continue;
     }
     if (work->phase == DeferredPhase::kRecording) {
-      // The platform is slow or away: the room is worth more to work that can
-      // start now.
+      // The platform is slow or unreachable: release the resources for work
+      // that can start now.
       this->WithdrawRecording(work);
       this->Park(work, kParkDelay);
     } else if (work->phase == DeferredPhase::kParked) {
       this->Enqueue(work);
     } else if (work->phase == DeferredPhase::kQueued) {
-      // The workers that it keeps away from may be the only ones left.
+      // The avoided workers may be the only ones left.
       this->parts->scheduler.Cancel(request);
       work->avoid.clear();
       this->Enqueue(work);
--- a/packages/core/src/lifecycle/deferred_flow.h
+++ b/packages/core/src/lifecycle/deferred_flow.h
@@ -21,33 +21,33 @@
 
 struct Parts;
 
-/// How far a piece of deferred work is in this process.
+/// State of a unit of deferred work in this process.
 enum class DeferredPhase {
-  /// Held back: the platform is away, the process is stopping, or the last
-  /// attempt failed a moment ago.
+  /// Not queued: the platform is unreachable, the process is stopping, or the
+  /// delay after a failed attempt has not passed.
   kParked,
-  /// Waits for room on a worker.
+  /// Queued for resources on a worker.
   kQueued,
-  /// Placed; the *started* records are on their way to the platform.
+  /// Placed; the *started* records are being written to the platform.
   kRecording,
-  /// Its tasks are sent.
+  /// Its tasks were sent.
   kRunning,
-  /// Its end is on its way to the platform.
+  /// The record of its end is being written to the platform.
   kEnding,
 };
 
-/// Unfinished deferred work that stands in a journal of this process.
+/// Unfinished deferred work recorded in a journal of this process.
 struct DeferredWork {
   Request request;
   JournalId journal;
   DeferredPhase phase = DeferredPhase::kParked;
-  /// Number of the last attempt, whether it came to run or not.
+  /// Number of the last attempt, whether or not it ran.
   std::int32_t last_attempt = 0;
   /// Attempts that ran and failed by themselves.
   std::int32_t failures = 0;
-  /// Attempts whose worker was lost, as far as this process has seen.
+  /// Attempts whose worker was lost, as observed by this process.
   std::int32_t losses = 0;
-  /// Attempts in a row that no worker started.
+  /// Consecutive attempts that no worker started.
   std::int32_t refusals = 0;
   Attempt attempt;
   /// *Started* records of this attempt that are not durable yet.
@@ -56,47 +56,50 @@
   Instant accepted;
   bool cancel_wanted = false;
   bool may_have_run = false;
-  /// It is, or was, one of several tasks started by the dead writer.
+  /// The attempt was started by the former writer of the journal.
   bool adopted = false;
-  /// Questions that wait until a cancellation is settled.
+  /// Queries answered once the cancellation is settled.
   std::vector<std::uint64_t> cancel_queries;
 };
 
-/// Deferred work: accepted once journalled, started once the start is
-/// journalled, finished once.
+/// Life cycle of deferred work. It is accepted once its *accepted* record is
+/// durable, started once its *started* records are durable, and finished
+/// exactly once.
 class DeferredFlow {
  public:
   explicit DeferredFlow(Parts* parts) : parts(parts) {}
 
-  /// Takes new deferred work on, hands it to a peer, or refuses it.
+  /// Accepts new deferred work, forwards it to a peer, or refuses it.
   void Accept(ActiveRequest* entry);
-  /// The *accepted* record was not durable in time.
+  /// Handles an *accepted* record that did not become durable in time.
   void OnAcceptTimeout(ActiveRequest* entry);
   void OnDurable(const JournalId& journal, const AcceptedRecord& record);
   void OnDurable(const JournalId& journal, const StartedRecord& record);
   void OnDurable(const JournalId& journal, const FinishedRecord& record);
   void OnDurable(const JournalId& journal, const CancelledRecord& record);
-  /// Another process holds the journal: nothing of it may start here again.
+  /// Handles the loss of the journal to another process: none of its work may
+  /// start here any more.
   void OnFenced(const JournalId& journal);
-  /// Goes on with what an adopted journal leaves unfinished.
+  /// Resumes an unfinished entry of an adopted journal.
   void Resume(const DeferredEntry& entry);
 
   void OnPlaced(std::span<const Placement> placements);
   void OnTaskUpdate(const TaskUpdate& update);
   void OnPreempted(const Preemption& preemption);
-  /// The scheduler gave up on it, which must not lose it.
+  /// Handles the scheduler removing the work from its queue; the work is parked
+  /// and queued again.
   void OnExpired(const RequestId& request);
-  /// @return false if this process has no such unfinished work
+  /// @return false if this process has no unfinished work with this id
   [[nodiscard]] bool Cancel(const RequestId& request, std::uint64_t query);
-  /// The question was answered otherwise.
+  /// Drops a query that was answered elsewhere.
   void ForgetCancelQuery(const RequestId& request, std::uint64_t query);
-  /// @return true if work waits for room on a worker
+  /// @return true if any work is parked or queued
   [[nodiscard]] bool AnyWaiting() const;
-  /// @return true if no part of deferred work is about to be started here
+  /// @return true if no work is queued or waiting for its *started* records
   [[nodiscard]] bool HasNoPendingStart() const;
-  /// Takes all waiting work out of the queue, for a shutdown or an outage.
+  /// Parks all work that has not started, for a shutdown or an outage.
   void ParkAll();
-  /// Queues what is parked, as far as it may start now.
+  /// Queues all parked work that may start now.
   void QueueParked();
   void Tick();
   [[nodiscard]] Instant NextWakeup() const { return this->timers.Next(); }
@@ -105,10 +108,10 @@
   [[nodiscard]] std::size_t SizeIn(const JournalId& journal) const;
 
  private:
-  /// Tells the caller that the work is recorded, if it still waits.
+  /// Confirms to the caller, if it is still waiting, that the work is recorded.
   void ConfirmAccepted(const RequestId& request);
   DeferredWork* Get(const RequestId& request);
-  /// Refuses work whose record no batch can hold.
+  /// Refuses work whose record exceeds the maximum size of a batch.
   /// @return false if it was refused
   [[nodiscard]] bool FitsJournal(ActiveRequest* entry);
   [[nodiscard]] Admission CheckAdmission(const ActiveRequest& entry);
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -10,19 +10,20 @@
 namespace {
 
 constexpr std::int32_t kMaxHops = 2;
-/// Times that one process forwards one request.
+/// Maximum number of times that one process forwards one request.
 constexpr std::int32_t kMaxForwards = 3;
-/// The peer gives up this much earlier, so that its answer arrives in time.
+/// The peer's timeout is shorter by this much, so that its answer arrives in
+/// time.
 constexpr Duration kForwardMargin = std::chrono::milliseconds(20);
-/// Pauses before a cancellation is said again; each is twice the one before.
+/// Delays before a cancellation is repeated; each is twice the previous one.
 constexpr Duration kInitialCancelDelay = std::chrono::milliseconds(200);
 constexpr Duration kMaxCancelDelay = std::chrono::seconds(5);
 constexpr std::int32_t kAcceptedStatus = 202;
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Remembered peers that took deferred work on; bounds the memory.
+/// Maximum number of entries in `accepted_by`; bounds the memory.
 constexpr std::size_t kMaxRememberedPeers = 20000;
 
-/// Errors that another process would answer alike.
+/// Errors that any other process would return as well.
 bool IsFinalError(std::error_code error) {
   return error == Error::kUnknownTeam || error == Error::kHeaderInvalid ||
          error == Error::kBodyTooLarge || error == Error::kCancelled ||
@@ -44,8 +45,9 @@
   const bool from_local_peer = this->parts->IsLocal(entry.request.origin);
   bool allow_local = true;
   bool allow_remote = reach == Reach::kAnywhere;
-  // One hop inside a data centre and two in all, so that no request travels in
-  // circles: after a hop inside, only another data centre is left.
+  // At most one hop within a data centre and two in total, so that requests are
+  // not forwarded in a loop. After a hop within the data centre, only peers of
+  // other data centres are allowed.
   if (entry.request.hops > 0) {
     allow_local = !from_local_peer;
     allow_remote = allow_remote && from_local_peer;
@@ -122,11 +124,11 @@
 }
 
 void Forwarding::Cancel(ActiveRequest* entry) {
-  // Failure: a cancellation is a call of its own and can be lost, or reach the
-  // peer before the request that it belongs to; the peer knows no such request
-  // then. It shows as work that holds a worker until its own end although its
-  // caller has hung up. The peer's answer to the request ends the repeats, so
-  // one of them arrives after the request did.
+  // Failure: a cancellation is a separate call that can be lost, or arrive
+  // before its request, which the peer then does not know. The work then
+  // occupies a worker until it ends although its caller has disconnected. The
+  // cancellation is repeated until the peer answers the request, so one repeat
+  // arrives after the request.
   this->parts->context.Emit(ForwardCancel{entry->peer, entry->request.id});
   entry->cancel_delay =
       std::clamp(2 * entry->cancel_delay, kInitialCancelDelay, kMaxCancelDelay);
@@ -202,8 +204,9 @@
         "peer " + event.peer.Text() + " was lost while it had the request");
     return;
   }
-  // The peer may still run it: before it is placed elsewhere the peer is told
-  // to stop it and to say so, or it could run in two places at once.
+  // The peer may still run the request. It must confirm that it has stopped the
+  // request before the request is placed again, or it could run twice at the
+  // same time.
   entry->phase = RequestPhase::kRecalling;
   AskPeer ask;
   ask.query = this->parts->NewQuery();
--- a/packages/core/src/lifecycle/forwarding.h
+++ b/packages/core/src/lifecycle/forwarding.h
@@ -20,29 +20,30 @@
 /// How far a request may be forwarded.
 enum class Reach { kOwnDataCenter, kAnywhere };
 
-/// Requests that peers run for this process.
+/// Requests forwarded to peers.
 class Forwarding {
  public:
   explicit Forwarding(Parts* parts) : parts(parts) {}
 
-  /// Hands the request to a peer whose digest shows room; takes it out of the
-  /// queue if it waits there.
-  /// @return false if no peer shows room, or the hops are used up
+  /// Forwards the request to a peer whose digest shows enough free resources,
+  /// and removes it from the local queue.
+  /// @return false if no peer has enough free resources, or the hop limit is
+  ///   reached
   [[nodiscard]] bool TryForward(ActiveRequest* entry, Reach reach);
-  /// Hands the request to a peer that shows room, else to one of the own data
-  /// centre that owns workers, which queues or refuses it.
+  /// Forwards the request to a peer with enough free resources, else to a peer
+  /// of the own data centre that owns workers and queues or refuses it.
   [[nodiscard]] bool TryForwardToOwner(ActiveRequest* entry);
-  /// Tells the peer that nobody waits for the answer any more, and says so
-  /// again until the peer has answered the request.
+  /// Sends a cancellation to the peer and repeats it until the peer has
+  /// answered the request.
   void Cancel(ActiveRequest* entry);
-  /// Repeats cancellations that are due.
+  /// Repeats due cancellations.
   void Tick();
   [[nodiscard]] Instant NextWakeup() const { return this->cancels.Next(); }
   void On(const ForwardAnswered& event);
   void On(const ForwardFailed& event);
-  /// @return true if the answer was to a question that this part asked
+  /// @return true if the query was sent by this class
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
-  /// @return the peer that took on deferred work that arrived here
+  /// @return the peer that accepted deferred work forwarded by this process
   [[nodiscard]] std::optional<ProcessId> AcceptedBy(
       const RequestId& request) const;
 
--- a/packages/core/src/lifecycle/journals.cc
+++ b/packages/core/src/lifecycle/journals.cc
@@ -9,12 +9,13 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// An append that waits this long shows that the platform is away.
+/// An append pending for longer than this indicates that the platform is
+/// unreachable.
 constexpr Duration kMaxHealthyWait = std::chrono::seconds(2);
-/// Batches after which a journal is compacted.
+/// Number of batches after which a journal is compacted.
 constexpr std::uint64_t kCompactionInterval = 256;
-/// An adopted journal is kept this long, since its fence must outlast every
-/// pause of the process that wrote it before.
+/// How long an adopted journal is kept: its fence must outlast any pause of the
+/// former writer.
 constexpr Duration kFenceRetention = std::chrono::hours(24);
 
 }  // namespace
@@ -169,7 +170,7 @@
   TimelineEvent line =
       TextEvent(TimelineKind::kJournalAppended, event.journal.Text());
   this->parts->context.Record(std::move(line));
-  // What follows may open or drop journals.
+  // Applying the records may open or drop journals.
   for (const JournalRecord& record : records) {
     if (!this->Holds(event.journal)) {
       return;
@@ -213,14 +214,15 @@
 void Journals::Compact(OpenJournal* journal) {
   const std::uint64_t last = journal->writer.LastSequence();
   const bool due = last >= journal->compacted_at + kCompactionInterval;
-  // An adopted journal keeps its fence, so its beginning is never trimmed; it
-  // takes no new work and so stays small.
+  // An adopted journal must keep its fence, so it is not compacted; it gets no
+  // new work and stays small.
   if (!due || journal->closing || journal->compaction ||
       journal->writer.Name() != this->own || !journal->writer.Idle()) {
     return;
   }
-  // With nothing pending the snapshot covers every batch up to `last`. It is
-  // durable before anything is trimmed, so a crash in between loses nothing.
+  // With nothing pending, the snapshot covers every batch up to `last`. It
+  // becomes durable before anything is trimmed, so a crash in between loses no
+  // records.
   std::uint64_t ticket = 0;
   for (JournalRecord& record : this->parts->store.Snapshot(this->own)) {
     ticket = journal->writer.Append(std::move(record));
--- a/packages/core/src/lifecycle/journals.h
+++ b/packages/core/src/lifecycle/journals.h
@@ -17,7 +17,7 @@
 
 struct Parts;
 
-/// The journals that this process writes: its own, and those it has adopted.
+/// The journals that this process writes: its own and adopted ones.
 class Journals {
  public:
   explicit Journals(Parts* parts) : parts(parts) {}
@@ -29,29 +29,30 @@
     return this->open.contains(journal);
   }
   [[nodiscard]] std::vector<JournalId> Names() const;
-  /// Grows whenever `Names` changes.
+  /// Incremented whenever `Names` changes.
   [[nodiscard]] std::uint64_t Generation() const { return this->generation; }
   /// @return true if the journal is being handed over
   [[nodiscard]] bool IsClosing(const JournalId& journal) const;
-  /// @return true if nothing was ever written to it
+  /// @return true if nothing was ever written to the journal
   [[nodiscard]] bool IsUnused(const JournalId& journal) const;
-  /// Removes adopted journals that nobody needs any more.
+  /// Erases adopted journals that are no longer needed.
   void EraseExpired();
-  /// @return true if an append would most likely be durable soon
+  /// @return true if an append is expected to become durable soon
   [[nodiscard]] bool Healthy() const;
-  /// Takes a record in.
-  /// @return false if too much waits already; the record is dropped
+  /// Appends a record.
+  /// @return false if too many records are pending; the record is dropped
   [[nodiscard]] bool TryAppend(const JournalId& journal,
                                const JournalRecord& record);
-  /// Takes a record in, however much waits; tried again until it is taken.
+  /// Appends a record; if too many records are pending, it is kept and retried.
   void Append(const JournalId& journal, JournalRecord record);
   /// Writes the *adopted* record as the fence at `sequence`.
   void Adopt(const JournalId& journal, std::uint64_t sequence);
-  /// Writes the *handed over* record as the last one; any peer may go on then.
+  /// Writes the *handed over* record as the last one; any peer may adopt the
+  /// journal afterwards.
   void HandOver(const JournalId& journal);
-  /// Stops to write a journal that was handed over or is not needed.
+  /// Stops writing a journal that was handed over or is no longer needed.
   void Drop(const JournalId& journal);
-  /// Removes a journal of which nothing is needed any more.
+  /// Trims the whole journal and stops writing it.
   void Erase(const JournalId& journal);
 
   void On(const JournalAppended& event);
@@ -70,10 +71,10 @@
   struct OpenJournal {
     Journal writer;
     std::map<std::uint64_t, JournalRecord> pending = {};
-    /// Records that were not taken yet.
+    /// Records that the writer has not accepted yet.
     std::deque<JournalRecord> overflow = {};
     Instant opened = {};
-    /// The *handed over* record is on its way.
+    /// The *handed over* record is being written.
     bool closing = false;
     std::uint64_t compacted_at = 0;
     std::optional<Compaction> compaction = {};
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -15,16 +15,16 @@
 constexpr std::int32_t kAcceptedStatus = 202;
 constexpr std::int32_t kBadGatewayStatus = 502;
 constexpr Duration kRepeatDelay = std::chrono::seconds(1);
-/// An order to drop a claim has no answer, and the claim it follows may still
-/// be on its way, so it is sent several times.
+/// A drop is not confirmed, and the claim that it follows may not have been
+/// written yet, so it is sent this many times.
 constexpr std::int32_t kDropRepeats = 4;
-/// Bounds the memory in a long outage; repeats of what is beyond it are told
-/// that the key is in use.
+/// Bounds the memory during a long outage. Claims beyond it are not dropped;
+/// repeats of their requests are answered that the key is in use.
 constexpr std::size_t kMaxAbandoned = 4096;
 constexpr Duration kDropInterval = std::chrono::seconds(5);
 constexpr Duration kSweepInterval = std::chrono::minutes(10);
-/// Far longer than any caller waits, so that no request is in progress any more
-/// when its claim goes.
+/// Minimum age of claims that are removed. It exceeds any caller's timeout, so
+/// no request is still in progress when its claim is removed.
 constexpr Duration kMinRetention = std::chrono::hours(1);
 
 }  // namespace
@@ -182,7 +182,8 @@
       continue;
     }
     this->EmitSettle(request, found->second, {}, true);
-    // While the platform is away nothing is achieved, so nothing is counted.
+    // Drops sent while the platform is unreachable have no effect and are not
+    // counted.
     if (this->parts->context.platform_reachable &&
         --found->second.drops_left <= 0) {
       this->abandoned.erase(found);
@@ -207,8 +208,8 @@
 }
 
 bool KeyClaims::IsCellSweeper() const {
-  // Views may differ, and two processes may sweep at a time; that costs calls
-  // and nothing else.
+  // Processes may have different views of the membership, so two may sweep at
+  // the same time; this only costs additional calls.
   const CoreOptions& options = this->parts->context.options;
   const bool lower_data_center_alive =
       std::ranges::any_of(options.peers, [&](const PeerDescription& peer) {
--- a/packages/core/src/lifecycle/key_claims.h
+++ b/packages/core/src/lifecycle/key_claims.h
@@ -14,33 +14,36 @@
 
 struct Parts;
 
-/// Claims on idempotency keys: nothing starts under a key before the claim is
-/// in the platform, and the answer is kept beside it for repeats.
+/// Claims on idempotency keys. No request with a key starts before its claim is
+/// durable in the platform; the answer is stored with the claim for repeats.
 class KeyClaims {
  public:
   explicit KeyClaims(Parts* parts) : parts(parts) {}
 
-  /// Asks for the claim; ends in one of the three events.
+  /// Requests the claim; the result is one of the three events below.
   void Begin(const ActiveRequest& entry);
   void On(const KeyClaimed& event);
   void On(const KeyTaken& event);
   void On(const KeyUnavailable& event);
-  /// Keeps the final answer, or drops the claim if the request did not run.
+  /// Stores the final answer, or drops the claim if the request did not run.
   void Settle(const ActiveRequest& entry, const Answer& answer);
-  /// The claim may stand though the request ended before anything started: it
-  /// is dropped again, several times, so that repeats are not blocked for good.
+  /// Drops a claim that may have been granted although the request ended before
+  /// anything started. The drop is sent several times, so that repeats of the
+  /// request are not blocked permanently.
   void Abandon(const Request& request);
-  /// The end of a request that was answered "unknown" became known after all.
+  /// Stores the answer of a request that was already answered "unknown".
   void SettleUnknown(const RequestId& request, const Answer& answer);
-  /// No more news of the request can come.
+  /// Discards the claim of a request whose result can no longer be learnt.
   void ForgetUnknown(const RequestId& request) {
     this->unknown_claims.erase(request);
   }
-  /// A key of adopted or accepted deferred work.
+  /// Stores the "accepted" answer under the key of accepted or adopted deferred
+  /// work.
   void SettleAccepted(const Request& request);
   void OnPlatformBack();
   void Tick();
-  /// Has old claims removed from time to time, by one process of the cell.
+  /// Periodically requests the removal of old claims; only one process of the
+  /// cell does this.
   void SweepExpired();
   [[nodiscard]] Instant NextWakeup() const { return this->drop_timers.Next(); }
 
@@ -51,7 +54,7 @@
     TeamId team;
     std::string key;
     std::uint64_t body_hash = 0;
-    /// Drops still to be sent.
+    /// Number of drops still to be sent.
     std::int32_t drops_left = 0;
   };
 
--- a/packages/core/src/lifecycle/orphan_gangs.cc
+++ b/packages/core/src/lifecycle/orphan_gangs.cc
@@ -8,9 +8,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A stop order may be lost.
+/// Stop orders are repeated since they may be lost.
 constexpr Duration kStopRetryInterval = std::chrono::seconds(2);
-/// First and longest pause until a peer that follows a gang is asked again.
+/// Initial and maximum delay until peers are queried again about a gang that
+/// one of them tracks.
 constexpr Duration kInitialPollDelay = std::chrono::seconds(2);
 constexpr Duration kMaxPollDelay = std::chrono::seconds(30);
 
@@ -66,10 +67,11 @@
   const RequestId request = found->second;
   this->pending_queries.erase(found);
   if (event.status) {
-    // Somebody follows it, and stops it if it is not whole. Failure: that was
-    // only the process that had forwarded it, or it dies or loses the workers,
-    // and gives up at the caller's timeout. A part of the gang would run on and
-    // hold its worker until its time limit, so the peers are asked again.
+    // A peer tracks the gang and stops it if it is incomplete. Failure: the
+    // peer only forwarded the request, or it dies or loses the workers, and
+    // stops tracking the request at the caller's timeout. The remaining tasks
+    // would run on and occupy their workers until their time limit, so the
+    // peers are queried again.
     Duration& delay = this->poll_delays[request];
     delay = std::clamp(2 * delay, kInitialPollDelay, kMaxPollDelay);
     this->next_queries.Set(request, this->parts->context.now + delay);
--- a/packages/core/src/lifecycle/orphan_gangs.h
+++ b/packages/core/src/lifecycle/orphan_gangs.h
@@ -14,20 +14,21 @@
 
 struct Parts;
 
-/// Stops what is left of gangs whose process is gone.
+/// Stops the remaining tasks of gangs whose entry process is gone.
 ///
-/// Failure: a process dies after it has started a part of a gang. Nobody starts
-/// the rest, and the part would hold its workers until its time limit. It shows
-/// to the next owner of a worker as a running task of a gang that no live
-/// process follows. Gangs of deferred work are left to whoever adopts the
-/// journal; tasks that must not run twice are left to end by themselves.
+/// Failure: a process dies after it has started only some tasks of a gang. The
+/// others are never started, and the started ones would occupy their workers
+/// until their time limit. The next owner of such a worker sees a running task
+/// of a gang that no live process tracks. Gangs of deferred work are left to
+/// the adopter of the journal; non-idempotent tasks are left to end by
+/// themselves.
 class OrphanGangs {
  public:
   explicit OrphanGangs(Parts* parts) : parts(parts) {}
 
-  /// A task that this process did not start runs at one of its workers.
+  /// Handles a task on an owned worker that this process did not start.
   void OnForeignTask(const RequestId& request, const ServiceId& service);
-  /// @return true if the answer was to a question that this part asked
+  /// @return true if the query was sent by this class
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
   void Tick();
   [[nodiscard]] Instant NextWakeup() const {
@@ -40,12 +41,12 @@
   void Forget(const RequestId& request);
 
   Parts* parts;
-  /// Peers still to be asked whether they follow the request.
+  /// Peers still to be queried whether they track the request.
   std::map<RequestId, std::vector<ProcessId>> peers_to_query;
   std::map<std::uint64_t, RequestId> pending_queries;
   TimerQueue<RequestId> retries;
-  /// When a gang that a peer says it follows is asked about again, and the
-  /// pause until then.
+  /// Times at which the peers are queried again about a gang that one of them
+  /// tracks; `poll_delays` holds the current delays.
   TimerQueue<RequestId> next_queries;
   std::map<RequestId, Duration> poll_delays;
 };
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -12,15 +12,16 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Retries per first attempt, and those always allowed.
+/// Retries allowed per first attempt, and per second regardless of load.
 constexpr double kRetryShare = 0.1;
 constexpr double kMinRetriesPerSecond = 10;
-/// Remainders that tell the runs of one process apart, and all remainders.
+/// Epoch remainders reserved for the runs of one process, and for all
+/// processes.
 constexpr Epoch kRunsPerProcess = 4096;
 constexpr Epoch kEpochStride = 256 * kRunsPerProcess;
 constexpr Duration kMaintenanceInterval = std::chrono::seconds(1);
-/// Deferred work of a process that has owned no worker for so long is handed to
-/// a peer that does.
+/// Deferred work of a process that has owned no worker for this long is handed
+/// over to a peer that owns workers.
 constexpr Duration kStrandedTimeout = std::chrono::seconds(3);
 
 /// @return how many processes of the cell have a lower name
@@ -31,7 +32,7 @@
       }));
 }
 
-/// Gives each run of each process epochs of its own.
+/// Assigns disjoint epochs to each run of each process.
 void SetEpochs(CoreOptions* options) {
   const auto number = static_cast<Epoch>(NumberOf(*options));
   options->ownership.epoch_stride = kEpochStride;
--- a/packages/core/src/lifecycle/parts.h
+++ b/packages/core/src/lifecycle/parts.h
@@ -33,7 +33,8 @@
 
 namespace mustardproxy::detail {
 
-/// What peers should learn soon, not only with the next heartbeat.
+/// Part of the digest whose changes are sent to peers immediately instead of
+/// with the next heartbeat.
 struct AnnouncedState {
   ConfigurationVersion configuration = 0;
   bool stopping = false;
@@ -44,8 +45,9 @@
                          const AnnouncedState&) = default;
 };
 
-/// All parts of one core. Each part reaches the others through it; news flows
-/// through `Advance`, so that no part is called back while it is at work.
+/// Owns all parts of one core and gives each part access to the others. Task
+/// updates are dispatched by `Advance`, so that no part is called back while it
+/// is executing.
 struct Parts {
   explicit Parts(CoreOptions options);
   Parts(const Parts&) = delete;
@@ -80,35 +82,37 @@
   std::vector<ProcessId> local_peers;
   std::vector<ProcessId> remote_peers;
 
-  /// Begins the life of the process.
+  /// Opens the journal and adds the workers from the settings. Called once,
+  /// before the first event.
   void Boot();
-  /// Does all that is due after an event.
+  /// Dispatches task updates and runs everything that is due after an event.
   void Advance();
   [[nodiscard]] Instant NextWakeup() const;
   [[nodiscard]] Digest OwnDigest() const;
 
   void OnDurable(const JournalId& journal, const JournalRecord& record);
   void OnFenced(const JournalId& journal);
-  /// Gives a journal with all its work up, for any peer to go on with.
+  /// Hands a journal and its work over for adoption by any peer.
   void HandOver(const JournalId& journal);
 
-  /// @return true if the process belongs to the own data centre
+  /// @return true if the process belongs to this data centre
   [[nodiscard]] bool IsLocal(const ProcessId& process) const;
   [[nodiscard]] bool IsPeer(const ProcessId& process) const;
-  /// @return a small number that no other process of the cell has
+  /// @return a small number that is unique among the processes of the cell
   [[nodiscard]] std::int32_t ProcessNumber() const {
     return this->process_number;
   }
   [[nodiscard]] std::uint64_t NewQuery() { return ++this->last_query; }
-  /// @return the longest time for which any profile keeps results
+  /// @return the longest result retention of all profiles
   [[nodiscard]] Duration LongestRetention() const;
   [[nodiscard]] TeamId TeamOf(const RequestId& request);
 
-  /// A task has ended after its request was answered "unknown".
+  /// Handles an update of a task whose request is no longer in progress.
   void SettleLateAnswer(const TaskUpdate& update);
-  /// Stops tasks of a request at workers that peers own.
+  /// Asks the peers of this data centre to stop tasks of a request at their
+  /// workers.
   void StopAtPeers(const RequestId& request);
-  /// Cuts an end that is too large for the journal down to a failure.
+  /// Replaces a record too large for the journal by a failure without a body.
   [[nodiscard]] FinishedRecord TruncateToFit(FinishedRecord record) const;
 
  private:
--- a/packages/core/src/lifecycle/peer_consent.cc
+++ b/packages/core/src/lifecycle/peer_consent.cc
@@ -53,7 +53,7 @@
     return true;
   }
   inquiry->second.queried.erase(query.peer);
-  // An empty answer may also mean that the peer could not be asked.
+  // An empty answer may also mean that the peer could not be reached.
   const bool nothing_left = event.status && !event.status->ran &&
                             event.status->state == DeferredState::kUnknown;
   if (nothing_left) {
--- a/packages/core/src/lifecycle/peer_consent.h
+++ b/packages/core/src/lifecycle/peer_consent.h
@@ -13,25 +13,25 @@
 
 struct Parts;
 
-/// Whether any peer may keep a task alive that this process has lost sight of.
+/// Determines whether a peer may be renewing the lease of a task whose worker
+/// this process can't reach.
 ///
-/// Failure: this process can't reach a worker any more, and a peer that can has
-/// become its owner and renews the leases of all that runs there. Waiting for
-/// the lease to lapse would prove nothing, and a review would run in two places
-/// at once. So each process of the data centre is asked; it stops what it finds
-/// of the request and says when nothing of it is left. A process that does not
-/// answer may be such an owner.
+/// Failure: this process can't reach a worker, and a peer that can has become
+/// its owner and renews the leases of all tasks there. The task would then
+/// outlive its last known lease and run twice at the same time. So each process
+/// of the data centre is queried; it stops the tasks of the request and reports
+/// when none is left. A process that does not answer may be such an owner.
 class PeerConsent {
  public:
   explicit PeerConsent(Parts* parts) : parts(parts) {}
 
-  /// Asks the peers that have not consented yet.
+  /// Queries the peers that have not consented yet.
   void QueryPeers(const RequestId& request);
-  /// @return when the last peer said that nothing of the request runs at its
-  ///   workers; `Instant::max()` while one has not
+  /// @return the time at which the last peer reported that no task of the
+  ///   request runs at its workers; `Instant::max()` while a report is missing
   [[nodiscard]] Instant LastConsentAt(const RequestId& request) const;
   void Forget(const RequestId& request);
-  /// @return true if the answer was to a question that this part asked
+  /// @return true if the query was sent by this class
   [[nodiscard]] bool OnQueryAnswered(const QueryAnswered& event);
 
  private:
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Most tasks placed in one event; bounds the time that other events wait.
+/// Maximum number of tasks placed per event; bounds the delay of other events.
 constexpr std::size_t kPlacementLimit = 64;
 constexpr Duration kVictimInterval = std::chrono::milliseconds(5);
-/// Workers that one request keeps away from.
+/// Maximum number of workers that one request avoids.
 constexpr std::size_t kMaxAvoided = 8;
 
-/// Placements of one request stand together.
+/// @return the leading placements that belong to the same request; placements
+///   of one request are adjacent
 std::span<const Placement> FirstRequest(std::span<const Placement> placements) {
   std::size_t count = 1;
   while (count < placements.size() &&
--- a/packages/core/src/lifecycle/placing.h
+++ b/packages/core/src/lifecycle/placing.h
@@ -16,39 +16,41 @@
 
 struct Parts;
 
-/// Between the scheduler and the flows: hands out placements, victims and
-/// requests given up on, and tells the health of workers how tasks ended.
+/// Connects the scheduler with the flows: dispatches placements, preemptions
+/// and expired requests, and reports results of tasks to the worker health.
 class Placing {
  public:
   explicit Placing(Parts* parts) : parts(parts) {}
 
-  /// Puts a request into the queue of this process.
-  /// @return a refusal if no room is to be expected in time, or if this process
-  ///   owns no worker
+  /// Adds a request to the queue of this process.
+  /// @return a refusal if no resources are expected to be free in time, or if
+  ///   this process owns no worker
   [[nodiscard]] Admission Enqueue(const ActiveRequest& entry,
                                   Instant placement_deadline);
-  /// Places what fits, within a bound on the time.
+  /// Places queued requests, at most a bounded number of tasks per call.
   void Run();
-  /// Tells the flows what the scheduler has given up on.
+  /// Notifies the flows of requests that expired in the queue.
   void Expire();
-  /// Stops tasks that must make room.
+  /// Preempts tasks to free resources for more urgent work.
   void ChooseVictims();
   [[nodiscard]] Instant NextWakeup() const;
 
-  /// Gives placements back that nobody wants any more.
+  /// Frees the resources of placements that are no longer needed.
   void ReleasePlacements(std::span<const Placement> placements);
-  /// Follows a placed task from now on.
+  /// Starts tracking a placed task.
   TaskPlan Plan(const Placement& placement, const ServiceId& service,
                 Duration max_run, bool detached);
-  /// Follows a task that the writer of an adopted journal has started.
+  /// Starts tracking a task that the former writer of an adopted journal
+  /// started.
   void Watch(const StartedRecord& started, const Request& request);
-  /// Keeps failed workers out of the next attempt; the oldest are allowed again
-  /// when too few are left.
+  /// Adds failed workers to the avoided ones of the next attempt; removes the
+  /// oldest when too few workers would be left.
   void Avoid(std::vector<WorkerId>* avoid,
              std::span<const WorkerId> failed) const;
-  /// Feeds the health of workers.
+  /// Reports the result of a task to the worker health.
   void RecordHealth(const TaskUpdate& update, const ServiceId& service);
-  /// @return true if the health of a worker may have changed since last time
+  /// @return true if the health of a worker may have changed since the last
+  ///   call
   [[nodiscard]] bool TakeHealthChanged() {
     return std::exchange(this->health_changed, false);
   }
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -9,10 +9,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A cancellation that is not durable by then is answered with the state so
-/// far.
+/// A cancellation that is not durable after this time is answered with the
+/// current state.
 constexpr Duration kCancelTimeout = std::chrono::seconds(5);
-/// Peers that are asked about one unknown request.
+/// Maximum number of peers queried for one unknown request.
 constexpr std::size_t kMaxPeersQueried = 8;
 
 }  // namespace
@@ -80,7 +80,7 @@
     return status;
   }
   const DeferredEntry* entry = this->parts->store.Find(request);
-  // A recorded end is final, whoever holds the journal now.
+  // A recorded end is final, whichever process holds the journal now.
   if (entry != nullptr && entry->ended) {
     status.state = entry->state;
     status.result = entry->result;
@@ -137,7 +137,7 @@
   if (accepted_by) {
     add(*accepted_by);
   }
-  // A peer has asked the others itself.
+  // The peer that sent the query queries the other processes itself.
   if (from_peer) {
     return peers;
   }
@@ -160,9 +160,10 @@
 
 void QueryFlow::QueryNextPeer(RelayedQuery next) {
   if (next.peers_left.empty()) {
-    // Failure: the journal was adopted here while the peers were asked, and
-    // only the state is looked up again. The caller reads "finished" with an
-    // empty body, or a cancellation passes the work by.
+    // Failure: the journal was adopted here while the peers were queried. If
+    // only the state were looked up again, the caller would read "finished"
+    // with an empty body, or a cancellation would not reach the work. So the
+    // whole query is repeated.
     QueryArrived again;
     again.query = next.query;
     again.request = next.request;
@@ -171,7 +172,7 @@
     if (this->AnswerHere(again)) {
       return;
     }
-    // A peer goes on to ask others, who may know more.
+    // A peer continues with other processes, which may know more.
     this->Answer(next.query,
                  next.from_peer ? std::nullopt : this->LastKnown(next.request));
     return;
--- a/packages/core/src/lifecycle/query_flow.h
+++ b/packages/core/src/lifecycle/query_flow.h
@@ -15,15 +15,15 @@
 
 struct Parts;
 
-/// Questions about the state and result of deferred work, which any process
-/// answers for any other.
+/// Queries for the state and result of deferred work. Any process answers them,
+/// if necessary by querying its peers.
 class QueryFlow {
  public:
   explicit QueryFlow(Parts* parts) : parts(parts) {}
 
   void On(const QueryArrived& event);
   void On(const QueryAnswered& event);
-  /// Answers with what is durable.
+  /// Answers with the durable state.
   void AnswerFromStore(std::uint64_t query, const RequestId& request);
   void Tick();
   [[nodiscard]] Instant NextWakeup() const {
@@ -31,7 +31,7 @@
   }
 
  private:
-  /// A question that peers are asked, one after the other.
+  /// A query that is sent to peers one after the other.
   struct RelayedQuery {
     std::uint64_t query = 0;
     RequestId request;
@@ -40,13 +40,14 @@
     std::vector<ProcessId> peers_left;
   };
 
-  /// Stops what other processes have started of the request, and says whether
-  /// anything of it is left here.
+  /// Stops tasks of the request that other processes started, and answers
+  /// whether any are left here.
   void StopOrphans(const QueryArrived& event);
   [[nodiscard]] bool AnswerHere(const QueryArrived& event);
   [[nodiscard]] std::optional<DeferredStatus> StatusHere(
       const RequestId& request) const;
-  /// What stood in a journal that this process has given up.
+  /// @return the last state read from a journal that this process no longer
+  ///   holds
   [[nodiscard]] std::optional<DeferredStatus> LastKnown(
       const RequestId& request) const;
   [[nodiscard]] std::vector<ProcessId> PeersToQuery(const RequestId& request,
@@ -55,9 +56,9 @@
   void Answer(std::uint64_t query, std::optional<DeferredStatus> status);
 
   Parts* parts;
-  /// By the number of the question to the peer.
+  /// Keyed by the number of the query sent to the peer.
   std::map<std::uint64_t, RelayedQuery> relayed_queries;
-  /// Cancellations that wait to be settled.
+  /// Cancellations that are not settled yet.
   std::map<std::uint64_t, RequestId> cancelling;
   TimerQueue<std::uint64_t> cancel_deadlines;
 };
--- a/packages/core/src/lifecycle/request_answers.cc
+++ b/packages/core/src/lifecycle/request_answers.cc
@@ -88,7 +88,7 @@
 }
 
 void RequestAnswers::Finish(ActiveRequest* entry, Answer answer) {
-  // "Not run" must be true of all attempts, not only of the last one.
+  // "Not run" must hold for all attempts, not only for the last one.
   if (answer.outcome == Outcome::kNotRun && entry->may_have_run) {
     if (entry->last_failure) {
       answer = *entry->last_failure;
--- a/packages/core/src/lifecycle/request_answers.h
+++ b/packages/core/src/lifecycle/request_answers.h
@@ -13,30 +13,30 @@
 
 struct Parts;
 
-/// HTTP status of a refusal that may pass.
+/// HTTP status of a temporary refusal.
 inline constexpr std::int32_t kUnavailableStatus = 503;
 
-/// What callers are told: one answer per request, and "not run" only where it
-/// is true of every attempt.
+/// Answers to callers: exactly one per request, and "not run" only if no
+/// attempt may have run.
 class RequestAnswers {
  public:
   explicit RequestAnswers(Parts* parts) : parts(parts) {}
 
-  /// Answers, once and for all. Turns "not run" into what is true if an
-  /// attempt may have run.
+  /// Sends the final answer. "Not run" is replaced by the last failure or
+  /// "unknown" if an attempt may have run.
   void Finish(ActiveRequest* entry, Answer answer);
   /// Answers "not run".
   void Refuse(ActiveRequest* entry, std::error_code error, std::int32_t status,
               std::string text, Duration retry_after = Duration{0});
-  /// Answers "not run" with what the scheduler said.
+  /// Answers "not run" with the scheduler's refusal.
   void RefuseAdmission(ActiveRequest* entry, const Admission& admission);
-  /// Answers "not run" to a request that was not even taken in.
+  /// Answers "not run" to a request that was never added to the table.
   void RefuseArrival(const Request& request, std::error_code error,
                      std::string text);
   /// Answers "unknown".
   void AnswerUnknown(ActiveRequest* entry, std::error_code error,
                      std::string text);
-  /// Answers the peers that asked for the request's tasks to be stopped.
+  /// Answers the peers that recalled the request.
   void AnswerRecalls(ActiveRequest* entry, bool ran, DeferredState state);
 
  private:
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -4,12 +4,13 @@
 #include "lifecycle/parts.h"
 #include "lifecycle/request_flow.h"
 
-// What becomes known of a request's attempts, and whether it is tried again.
+// Task updates of a request's attempts, and the decision to retry.
 namespace mustardproxy::detail {
 namespace {
 
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Times that a start may provably not happen before the request is given up.
+/// Maximum number of attempts and forwards that did not run before the request
+/// is refused.
 constexpr std::int32_t kMaxStarts = 10;
 
 }  // namespace
@@ -48,7 +49,7 @@
     this->Settled(entry);
     return;
   }
-  // A gang that has lost a task is not whole: the others must not run on alone.
+  // A gang that has lost a task is incomplete; its other tasks must not run on.
   if (entry->attempt.CanNotComplete()) {
     this->StopTasks(entry);
   }
@@ -56,8 +57,8 @@
 
 void RequestFlow::OnUncertain(ActiveRequest* entry, const TaskUpdate& update) {
   entry->may_have_run = true;
-  // Nothing more can be learnt in time that would allow a second start, so a
-  // non-idempotent request is answered now instead of at its deadline.
+  // A non-idempotent request can't be started again, whatever its worker
+  // reports later, so it is answered now instead of at its deadline.
   if (!entry->terms.idempotent) {
     this->parts->answers.AnswerUnknown(
         entry, Error::kAnswerIncomplete,
@@ -149,8 +150,8 @@
   const std::int32_t starts =
       entry->last_attempt % kAttemptsPerProcess + entry->forwards;
   if (entry->runs > 0) {
-    // The limit on waiting holds for each attempt that runs, the caller's
-    // timeout for all of them.
+    // The limit on the time in the queue applies to each attempt that ran, the
+    // caller's timeout to all of them.
     entry->placement_deadline =
         std::min(entry->deadline, now + entry->terms.max_wait);
   }
@@ -167,7 +168,7 @@
 }
 
 bool RequestFlow::MayRetry(const ActiveRequest& entry) {
-  // A start that was not even sent cost nothing.
+  // A start that was never sent does not count against the retry budget.
   const bool free = entry.phase == RequestPhase::kRunning &&
                     entry.attempt.Evaluate() == AttemptResult::kNeverStarted &&
                     entry.attempt.LeaseLost();
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -8,12 +8,14 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A queued request may move to a peer that shows room after this wait.
+/// Time in the queue after which a request may be forwarded to a peer with free
+/// resources.
 constexpr Duration kForwardAfter = std::chrono::milliseconds(200);
 constexpr Duration kForwardRoundInterval = std::chrono::milliseconds(100);
-/// Most requests looked at in one round of moves; bounds its time.
+/// Maximum number of requests examined in one round of forwarding; bounds its
+/// duration.
 constexpr std::size_t kForwardsPerRound = 32;
-/// Answers of the worker that arrive this late still count.
+/// Time after the deadline in which an answer of the worker is still accepted.
 constexpr Duration kAnswerGrace = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -95,7 +97,7 @@
   }
   const RequestId id = entry->request.id;
   this->parts->placing.Run();
-  // Placing may have changed the table, though it never answers.
+  // Placing may have changed the table, though it never answers a request.
   entry = this->parts->table.Find(id);
   if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
     return;
@@ -111,11 +113,11 @@
 
 bool RequestFlow::ForwardUnqueued(ActiveRequest* entry,
                                   const Admission& admission) {
-  // Failure: a process that owns no worker has sent its peer as much as the
-  // peer's last digest had room for, and refuses all else until the next
-  // digest, though the peer has long ended the work and would queue more.
-  // Callers of this process see refusals while workers idle. So the peer
-  // decides itself.
+  // Failure: a process that owns no worker has forwarded as much as its peer's
+  // last digest had resources for, and refuses everything else until the next
+  // digest, although the peer has finished the work and would queue more.
+  // Requests are then refused while workers are idle. So the request is
+  // forwarded anyway and the peer decides.
   if (admission.refusal == Error::kNoWorker) {
     return this->parts->forwarding.TryForwardToOwner(entry);
   }
@@ -188,8 +190,8 @@
                                   "cancelled");
       return;
     case RequestPhase::kRunning:
-      // A non-idempotent task that was cut short could leave half an effect
-      // behind, so it runs on.
+      // A non-idempotent task runs on, since stopping it could leave a partial
+      // effect.
       if (entry->terms.idempotent) {
         this->StopTasks(entry);
       }
--- a/packages/core/src/lifecycle/request_flow.h
+++ b/packages/core/src/lifecycle/request_flow.h
@@ -17,44 +17,46 @@
 
 struct Parts;
 
-/// Attempt numbers of one request at different processes start apart, so that
-/// no two of them make the same task id.
+/// Size of the range of attempt numbers of each process for one request. The
+/// ranges are disjoint, so that no two processes create the same task id.
 inline constexpr std::int32_t kAttemptsPerProcess = 1000;
 
-/// A request from its arrival to its one answer: admission, placement here or
-/// at a peer, attempts, and what the caller is told.
+/// Life cycle of a request from its arrival to its answer: admission, placement
+/// here or at a peer, attempts, and the answer.
 class RequestFlow {
  public:
   explicit RequestFlow(Parts* parts) : parts(parts) {}
 
   void On(const RequestArrived& event);
-  /// The caller is gone, or the peer that forwarded the request takes it back.
+  /// Handles a caller that has disconnected, or a cancellation by the peer that
+  /// forwarded the request.
   void On(const CancelRequested& event);
-  /// The tasks of a queued request were placed together.
+  /// Starts the tasks of a queued request, which were placed together.
   void OnPlaced(std::span<const Placement> placements);
   void OnTaskUpdate(const TaskUpdate& update);
-  /// The scheduler gave up on a queued request.
+  /// Refuses a queued request that the scheduler has expired.
   void OnExpired(const RequestId& request);
-  /// A task is stopped to make room.
+  /// Handles the preemption of a task.
   void OnPreempted(const Preemption& preemption);
-  /// Deals with deadlines and with requests that wait for a peer to show room.
+  /// Handles deadlines, and forwards queued requests to peers with free
+  /// resources.
   void Tick();
   [[nodiscard]] Instant NextWakeup() const;
 
-  /// Places a request that is allowed to start: here if it fits now, else at a
-  /// peer, else in the queue; else it is refused.
+  /// Places a request that may start: here if it fits now, else at a peer, else
+  /// in the queue. Otherwise the request is refused.
   void Place(ActiveRequest* entry);
-  /// A peer lost sight of a request that it forwarded here, and wants its tasks
-  /// stopped; the question is answered when no task of it runs any more.
+  /// Stops a request whose forwarding peer lost the connection to this process.
+  /// The query is answered when no task of the request runs any more.
   void Recall(ActiveRequest* entry, std::uint64_t query);
-  /// Goes on with a request that provably does not run anywhere now.
-  /// @param last answer for the caller if it can't be tried again
+  /// Retries a request of which certainly no task runs.
+  /// @param last the answer if the request can't be retried
   void Retry(ActiveRequest* entry, Answer last);
 
  private:
   [[nodiscard]] bool Admit(const Request& request);
   [[nodiscard]] Admission Queue(ActiveRequest* entry);
-  /// Forwards what could not be queued here.
+  /// Forwards a request that could not be queued here.
   [[nodiscard]] bool ForwardUnqueued(ActiveRequest* entry,
                                      const Admission& admission);
   void StopTasks(ActiveRequest* entry);
--- a/packages/core/src/lifecycle/request_name.h
+++ b/packages/core/src/lifecycle/request_name.h
@@ -10,7 +10,7 @@
 
 namespace mustardproxy::detail {
 
-/// Who made a request id, or writes a journal.
+/// The run of a process that created a request id or writes a journal.
 struct NamedProcess {
   ProcessId process;
   Incarnation incarnation = 0;
@@ -25,7 +25,8 @@
 /// @return the name of the journal number `number` of one run of a process
 JournalId JournalName(const ProcessId& process, Incarnation incarnation,
                       std::int32_t number);
-/// @return FNV-1a 64 of a body, which tells repeats from other requests
+/// @return the 64-bit FNV-1a hash of a body, used to distinguish repeats from
+///   other requests
 std::uint64_t BodyHash(std::string_view body);
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/request_table.cc
+++ b/packages/core/src/lifecycle/request_table.cc
@@ -5,7 +5,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Answered ids that are remembered; bounds the memory.
+/// Maximum number of remembered ids of answered requests; bounds the memory.
 constexpr std::size_t kRememberedIds = 20000;
 
 }  // namespace
--- a/packages/core/src/lifecycle/request_table.h
+++ b/packages/core/src/lifecycle/request_table.h
@@ -17,31 +17,32 @@
 
 namespace mustardproxy::detail {
 
-/// What a request is waiting for.
+/// The event that a request is waiting for.
 enum class RequestPhase {
   /// The claim on its idempotency key.
   kClaiming,
-  /// Room on a worker.
+  /// Resources on a worker.
   kQueued,
   /// The answer of its tasks.
   kRunning,
   /// A peer's answer.
   kForwarded,
-  /// A peer that was lost, and then asked what became of the request.
+  /// The answer of a peer to a recall, sent after the connection to it was
+  /// lost.
   kRecalling,
   /// The *accepted* record of deferred work.
   kJournalling,
 };
 
-/// A request that somebody waits for here.
+/// A request in progress in this process.
 struct ActiveRequest {
   Request request;
   ServiceTerms terms;
   RequestPhase phase = RequestPhase::kClaiming;
   Instant arrived;
-  /// When the caller stops waiting.
+  /// End of the caller's timeout.
   Instant deadline;
-  /// When waiting for room ends.
+  /// Latest time of placement.
   Instant placement_deadline;
   Instant queued_at;
   /// Attempts whose tasks may have run.
@@ -53,29 +54,30 @@
   std::vector<WorkerId> avoid;
   std::vector<ProcessId> avoid_peers;
   ProcessId peer;
-  /// Question to the lost peer, while `kRecalling`.
+  /// Query sent to the lost peer; valid while `kRecalling`.
   std::uint64_t recall_query = 0;
-  /// An attempt may have run, so the answer can't be "not run" any more.
+  /// An attempt may have run, so the answer must not be "not run".
   bool may_have_run = false;
-  /// The key's claim is held by this process.
+  /// This request holds the claim on its idempotency key.
   bool claimed = false;
   bool caller_gone = false;
-  /// Time between the last two times that the peer was told so.
+  /// Delay between the last two cancellations sent to the peer.
   Duration cancel_delay{0};
-  /// Questions of peers that wait for its tasks to be stopped.
+  /// Queries of peers that recalled the request, answered once its tasks are
+  /// stopped.
   std::vector<std::uint64_t> recalls;
-  /// Upstream's last answer, a failure.
+  /// Upstream's last answer, if it was a failure.
   std::optional<Answer> last_failure;
 };
 
-/// The requests in progress, and which ids were answered lately.
+/// The requests in progress and the ids of recently answered ones.
 class RequestTable {
  public:
   ActiveRequest* Add(ActiveRequest request);
   [[nodiscard]] ActiveRequest* Find(const RequestId& request);
-  /// The request was answered; a duplicate that arrives later is recognised.
+  /// Removes an answered request; its id is remembered to detect duplicates.
   void Remove(const RequestId& request);
-  /// @return true if the id is in progress or was answered lately
+  /// @return true if the request is in progress or was answered recently
   [[nodiscard]] bool Seen(const RequestId& request) const;
   void SetDeadline(const RequestId& request, Instant at) {
     this->deadlines.Set(request, at);
--- a/packages/core/src/lifecycle/service_terms.h
+++ b/packages/core/src/lifecycle/service_terms.h
@@ -11,8 +11,9 @@
 
 namespace mustardproxy::detail {
 
-/// What the configuration in force at the arrival of a request says about it. A
-/// later change does not alter how a request in progress is treated.
+/// Snapshot of the service and profile settings that apply to a request, taken
+/// when it arrives. Later configuration changes do not affect requests in
+/// progress.
 struct ServiceTerms {
   ProfileId profile;
   Resources resources;
@@ -24,7 +25,7 @@
   Duration max_run{0};
 };
 
-/// @return nothing if the service or its profile is not configured
+/// @return `std::nullopt` if the service or its profile is not configured
 inline std::optional<ServiceTerms> TermsOf(const Configuration& configuration,
                                            const ServiceId& id) {
   const auto service = configuration.services.find(id);
--- a/packages/core/src/lifecycle/shutdown_flow.cc
+++ b/packages/core/src/lifecycle/shutdown_flow.cc
@@ -5,10 +5,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Longest wait for the platform to take the *handed over* records. Without
-/// them a peer adopts the journals after the orphan time.
+/// Longest wait for the *handed over* records to become durable. Without them a
+/// peer adopts the journals only after the delay for lost processes.
 constexpr Duration kHandOverTimeout = std::chrono::seconds(3);
-/// Longest wait for workers to answer a release. Without it their leases lapse.
+/// Longest wait for workers to confirm a release. Unreleased leases expire.
 constexpr Duration kReleaseTimeout = std::chrono::seconds(3);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(50);
 
@@ -61,9 +61,9 @@
 void ShutdownFlow::HandOver() {
   this->step = Step::kHandingOver;
   this->step_deadline = this->parts->context.now + kHandOverTimeout;
-  // Work whose tasks run goes on at the workers. The end of a task that is
-  // learnt after this record would be lost for the adopter, so nothing of the
-  // journal is followed any more.
+  // Running tasks continue at their workers. The end of a task received after
+  // this record would be lost for the adopter, so work of the journal is no
+  // longer tracked.
   for (const JournalId& journal : this->parts->journals.Names()) {
     if (this->parts->journals.IsUnused(journal)) {
       continue;
--- a/packages/core/src/lifecycle/shutdown_flow.h
+++ b/packages/core/src/lifecycle/shutdown_flow.h
@@ -10,8 +10,8 @@
 
 struct Parts;
 
-/// A graceful stop: what is in progress ends, then journals and leases are
-/// handed over.
+/// Graceful shutdown: requests in progress are completed, then journals are
+/// handed over and leases released.
 class ShutdownFlow {
  public:
   explicit ShutdownFlow(Parts* parts) : parts(parts) {}
--- a/packages/core/src/lifecycle/task_pauses.h
+++ b/packages/core/src/lifecycle/task_pauses.h
@@ -3,17 +3,17 @@
 
 #include "mustardproxy/core/time.h"
 
-/// How long the task tracker waits before it asks a worker.
+/// Delays before the task tracker queries a worker.
 namespace mustardproxy::detail {
 
-/// First pause before a task whose answer was lost is asked about again.
+/// Initial delay before a task whose answer was lost is queried again.
 inline constexpr Duration kInitialPollDelay = std::chrono::milliseconds(100);
-/// Pause between questions about a detached task whose end should come with a
-/// renewal.
+/// Interval between queries for a detached task, whose end is normally reported
+/// with a renewal.
 inline constexpr Duration kDetachedPollInterval = std::chrono::seconds(10);
-/// Pause until a stop order that got no answer is followed up.
+/// Time after which an unanswered stop order is followed by a query.
 inline constexpr Duration kStopTimeout = std::chrono::seconds(1);
-/// Time after a start's timeout in which its result is surely reported.
+/// Time after a start's timeout within which its result is reported.
 inline constexpr Duration kReportTimeout = std::chrono::seconds(5);
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -8,18 +8,18 @@
 #include "lifecycle/task_tracker.h"
 #include "mustardproxy/core/error.h"
 
-// What the tracker asks workers about tasks whose answer was lost, and what it
-// makes of the answers.
+// Queries to workers about tasks whose answer was lost, and the handling of
+// their answers.
 namespace mustardproxy::detail {
 
 namespace {
 
 constexpr Duration kMaxPollDelay = std::chrono::seconds(1);
-/// Covers the time a renewal travels and the drift between two clocks over one
-/// task lease.
+/// Covers the transit time of a renewal and the drift between two clocks over
+/// one task lease.
 constexpr Duration kLeaseMargin = std::chrono::seconds(1);
-/// Another renewal may be on its way already when one is sent on purpose, so
-/// only the second answer surely belongs to a renewal sent later.
+/// A renewal may already be in transit when confirming ones are sent, so only
+/// the second answer certainly belongs to a renewal sent after the query.
 constexpr std::int32_t kConfirmingRenewals = 2;
 
 }  // namespace
@@ -56,7 +56,7 @@
     const bool missing =
         tracked->phase == Phase::kRunning && !running.contains(task);
     // The report may be older than the start, or the end may have been dropped
-    // from the worker's bounded list: only a question tells.
+    // from the worker's bounded list; only a query can tell.
     if (missing && !tracked->query_pending) {
       this->QueryWorker(tracked);
     }
@@ -105,10 +105,10 @@
     this->Settle(plan.task, TaskUpdate::Kind::kNeverStarted);
     return;
   }
-  // A worker that has restarted answers "never started" about a task that it
-  // ran before: the caller of a non-idempotent request would be told "not run"
-  // though it ran. Renewals are refused by a restarted worker, so an accepted
-  // one that was sent after the question shows that the answer counts.
+  // Failure: a restarted worker answers "never started" for a task that it ran
+  // before the restart, and a non-idempotent request that ran would be answered
+  // "not run". A restarted worker refuses renewals, so an accepted renewal sent
+  // after the query shows that the answer is valid.
   const std::optional<OwnedWorker> owned =
       this->parts->ownership.Held(plan.worker);
   const bool can_confirm = answered_by == 0 && plan.worker_incarnation != 0 &&
@@ -161,7 +161,8 @@
 bool TaskTracker::HasCertainlyEnded(const Tracked& tracked) {
   const Instant now = this->parts->context.now;
   const Duration lease = this->parts->context.options.task_lease + kLeaseMargin;
-  // Whoever renews its lease, the worker ends it at its time limit.
+  // The worker stops the task at its time limit, whichever process renews its
+  // lease.
   if (now >= tracked.since + tracked.plan.max_run + lease &&
       now >= this->LeaseExpiry(tracked)) {
     return true;
@@ -171,14 +172,15 @@
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, tracked.plan.service);
-  // What must not run twice is not started again anyway.
+  // Non-idempotent work is not started again in any case.
   if (!terms || !terms->idempotent) {
     return true;
   }
   this->parts->consent.QueryPeers(tracked.plan.request);
   const Instant consent =
       this->parts->consent.LastConsentAt(tracked.plan.request);
-  // A peer that says so may have lost the worker just before.
+  // The consenting peer may have renewed the lease and lost the worker just
+  // before.
   return consent != Instant::max() && now >= consent + lease;
 }
 
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -31,9 +31,9 @@
 
 void TaskTracker::Watch(TaskPlan plan) {
   const TaskId task = plan.task;
-  // Failure: work comes back to the process that had started it, whose
-  // scheduler still counts its task. Followed anew as somebody else's, the task
-  // would stay counted for good.
+  // Failure: work is adopted back by the process that started it, whose
+  // scheduler still has the task's resources allocated. Tracked as a task of
+  // another process, it would never release them.
   const Tracked* known = this->Find(task);
   const bool placed = known != nullptr && known->placed;
   this->Plan(std::move(plan));
@@ -53,10 +53,10 @@
   const TaskPlan& plan = tracked->plan;
   const std::optional<OwnedWorker> owned =
       this->parts->ownership.Owned(now, plan.worker);
-  // The lease may have been lost, or the host may have begun to leave, between
-  // the placement and this send, for example while a *started* record was on
-  // its way to the platform. Then there is no lease to send under, or a newer
-  // one, under which the room was not counted. Such a task is placed again.
+  // Between the placement and this call the lease may have been lost or the
+  // host may have started to leave, for example while a *started* record was
+  // being written. Then there is no lease, or a newer one under which the
+  // task's resources were not allocated. Such a task is placed again.
   if (!owned || owned->epoch != plan.epoch) {
     this->Settle(task, TaskUpdate::Kind::kNeverStarted, {}, Error::kStaleEpoch);
     return;
@@ -135,12 +135,13 @@
 }
 
 void TaskTracker::StopAtOwner(const Tracked& tracked) {
-  // Failure: a worker is taken over while this process's tasks run there, and
-  // refuses its stops from then on. It shows as tasks of callers that have gone
-  // which hold the worker to their own end. The peer that owns the worker has
-  // found the task there and stops it; the others have nothing to stop. A task
-  // that another process follows by now is its own business, and progress that
-  // is to be kept is not cut off by a plain stop.
+  // Failure: another process takes a worker over while tasks of this process
+  // run there, and the worker refuses stop orders of this process from then on.
+  // Tasks of disconnected callers then occupy the worker until they end. The
+  // peer that owns the worker has found the task there and stops it; the other
+  // peers have nothing to stop. A disowned task is left to the process that
+  // tracks it now, and a task to be checkpointed is not stopped without a
+  // checkpoint.
   if (!tracked.disowned && !tracked.checkpoint) {
     this->parts->StopAtPeers(tracked.plan.request);
   }
@@ -187,8 +188,8 @@
     return;
   }
   if (!event.stopped) {
-    // A stop can overtake the start it belongs to. Only a question settles
-    // that: from then on the worker refuses the late start.
+    // A stop can overtake its start. Only a query settles this: after it the
+    // worker refuses the late start.
     this->QueryWorker(tracked);
     return;
   }
@@ -236,7 +237,7 @@
 void TaskTracker::OnWorkerLost(const WorkerId& worker) {
   for (const TaskId& task : this->TasksAt(worker)) {
     Tracked* tracked = this->Find(task);
-    // Its end will not come with a renewal any more.
+    // Its end will no longer be reported with a renewal.
     if (tracked->phase == Phase::kRunning && tracked->plan.detached) {
       this->ScheduleCheck(tracked, kInitialPollDelay);
     }
@@ -310,9 +311,10 @@
     this->parts->scheduler.OnTaskEnded(this->parts->context.now,
                                        &this->parts->ledger, id, ran);
   } else {
-    // Failure: the task was followed before its worker was taken over. The
-    // ledger then counted it from the worker's report, and nobody gave its room
-    // back: work waited beside an idle worker. It certainly does not run now.
+    // Failure: the task was tracked before this process took its worker over.
+    // The ledger then allocated its resources from the worker's report and
+    // nothing freed them, so work waited while the worker was idle. The task
+    // certainly does not run now.
     this->parts->ledger.Release(plan.worker, id);
   }
   const auto at = this->by_worker.find(plan.worker);
--- a/packages/core/src/lifecycle/task_tracker.h
+++ b/packages/core/src/lifecycle/task_tracker.h
@@ -18,36 +18,36 @@
 
 struct Parts;
 
-/// A detached start is answered as soon as the task runs.
+/// Timeout of a detached start, which is answered as soon as the task runs.
 inline constexpr Duration kDetachedStartTimeout = std::chrono::seconds(1);
 
-/// A task that is about to be sent, or was sent by the process whose journal
-/// was adopted.
+/// A task that will be sent, or that was sent by the former writer of an
+/// adopted journal.
 struct TaskPlan {
   TaskId task;
   RequestId request;
   ServiceId service;
   WorkerId worker;
   Epoch epoch = 0;
-  /// The worker's run that the start is meant for; 0 if not known.
+  /// Incarnation of the worker that the start is meant for; 0 if unknown.
   Incarnation worker_incarnation = 0;
   Resources resources;
   Duration max_run{0};
   bool detached = false;
 };
 
-/// What became known of a task.
+/// A change in what is known about a task.
 struct TaskUpdate {
   enum class Kind {
-    /// It runs.
+    /// It is running.
     kStarted,
-    /// It provably did not run and never will.
+    /// It did not run, and it is certain that it never will.
     kNeverStarted,
     kEnded,
-    /// It may have run, and certainly does not run any more.
+    /// It may have run; it is certain that it no longer runs.
     kLost,
-    /// Its answer is lost, and asking did not settle its fate; asked again
-    /// later.
+    /// Its answer was lost and a query did not settle its state; it is queried
+    /// again later.
     kUncertain,
   };
   Kind kind = Kind::kUncertain;
@@ -56,32 +56,34 @@
   WorkerId worker;
   EndedTask ended;
   std::error_code reason;
-  /// The worker could not be asked.
+  /// The worker could not be reached.
   bool unreachable = false;
 };
 
-/// Follows each task from its placement until its fate is certain, whoever
-/// still waits for it. Asks the worker where an answer was lost.
+/// Tracks each task from its placement until it certainly no longer runs,
+/// whether or not its request is still in progress. Queries the worker if an
+/// answer was lost.
 ///
-/// A task's resources go back to the scheduler only when the task provably does
-/// not run, so a lost answer never leads to an overcommitted worker.
+/// A task's resources are freed only once it is certain that the task does not
+/// run, so a lost answer never leads to an overcommitted worker.
 class TaskTracker {
  public:
   explicit TaskTracker(Parts* parts) : parts(parts) {}
 
-  /// Follows a task that the scheduler has placed.
+  /// Starts tracking a task that the scheduler has placed.
   void Plan(TaskPlan plan);
-  /// Follows a task that another process has started; asks its worker now.
+  /// Starts tracking a task that another process started, and queries its
+  /// worker.
   void Watch(TaskPlan plan);
   /// Sends a planned task if this process still holds the worker's lease under
-  /// the planned epoch; else the task never started.
+  /// the planned epoch; otherwise settles it as never started.
   void Send(const TaskId& task, Body body, Duration timeout);
-  /// Drops a planned task that was not sent; there is no news of it.
+  /// Drops a planned task that was not sent, without reporting an update.
   void Withdraw(const TaskId& task);
-  /// Orders a stop, now or as soon as the worker can be told.
+  /// Stops the task, now or as soon as its worker can be reached.
   void Stop(const TaskId& task, bool checkpoint);
-  /// The process has lost its right to the request: the task is not reported
-  /// any more, its resources are still counted.
+  /// Stops reporting updates of the task, since another process holds its
+  /// request now. Its resources stay allocated until it ends.
   void Disown(const TaskId& task);
 
   void On(const TaskStarted& event);
@@ -90,29 +92,30 @@
   void On(const TaskUncertain& event);
   void On(const TaskQueried& event);
   void On(const TaskStopAnswered& event);
-  /// A worker told what it runs and what has ended.
+  /// Handles a worker's report of its running and ended tasks.
   void OnReport(const WorkerReport& report);
-  /// Everything that ran at the worker before is gone.
+  /// Settles the tasks of earlier incarnations of the worker.
   void OnWorkerRestarted(const WorkerId& worker, Incarnation incarnation);
-  /// This process no longer owns the worker.
+  /// Handles the loss of the worker's lease.
   void OnWorkerLost(const WorkerId& worker);
-  /// A renewal is on its way, which prolongs the leases of the worker's tasks.
+  /// Records that a renewal was sent, which extends the leases of the worker's
+  /// tasks.
   void OnRenewalSent(const WorkerId& worker);
 
-  /// Asks about tasks that are due.
+  /// Queries the tasks whose check is due.
   void Tick();
-  /// @return what became known since the last call, in order
+  /// @return the updates since the last call, in order
   [[nodiscard]] std::vector<TaskUpdate> TakeUpdates();
   [[nodiscard]] Instant NextWakeup() const { return this->checks.Next(); }
   [[nodiscard]] bool IsTracked(const TaskId& task) const {
     return this->tasks.contains(task);
   }
-  /// @return true if the task ended so recently that a report on its way may
+  /// @return true if the task ended so recently that a report in transit may
   ///   still show it as running
   [[nodiscard]] bool EndedRecently(const TaskId& task) const {
     return this->recently_ended.contains(task);
   }
-  /// @return true if no task is followed at the worker
+  /// @return true if no task is tracked at the worker
   [[nodiscard]] bool IdleAt(const WorkerId& worker) const {
     return !this->by_worker.contains(worker);
   }
@@ -123,16 +126,16 @@
   struct Tracked {
     TaskPlan plan;
     Phase phase = Phase::kPlanned;
-    /// Counted by this process's scheduler.
+    /// The scheduler of this process has allocated its resources.
     bool placed = true;
     bool disowned = false;
-    /// No answer will come by itself; only asking helps.
+    /// The answer was lost; only a query can settle the task.
     bool uncertain = false;
     bool query_pending = false;
     bool stop_wanted = false;
     bool stop_sent = false;
     bool checkpoint = false;
-    /// Renewals still to be seen before "never started" counts.
+    /// Renewals still to be confirmed before "never started" is accepted.
     std::int32_t confirmations = 0;
     Instant since;
     Duration delay{0};
@@ -149,10 +152,10 @@
   void OnReportedRunning(Tracked* tracked);
   void QueryMissingTasks(const WorkerReport& report);
   void CountConfirmations(const WorkerReport& report);
-  /// @return true if the task does not run anywhere, though its worker can't be
-  ///   asked
+  /// @return true if the task certainly no longer runs although its worker
+  ///   can't be reached
   [[nodiscard]] bool HasCertainlyEnded(const Tracked& tracked);
-  /// @return when its lease has lapsed, unless somebody else renews it
+  /// @return when the task's lease expires unless another process renews it
   [[nodiscard]] Instant LeaseExpiry(const Tracked& tracked) const;
   void Report(const Tracked& tracked, TaskUpdate::Kind kind);
   void Settle(const TaskId& task, TaskUpdate::Kind kind, EndedTask ended = {},
--- a/packages/core/src/lifecycle/timer_queue.h
+++ b/packages/core/src/lifecycle/timer_queue.h
@@ -11,11 +11,11 @@
 
 namespace mustardproxy::detail {
 
-/// At most one moment per key, in order of time.
+/// Timers ordered by time, at most one per key.
 template <typename Key>
 class TimerQueue {
  public:
-  /// Sets the moment of `key`; an earlier setting is forgotten.
+  /// Sets the timer of `key` and replaces an earlier one.
   /// @complexity logarithmic
   void Set(const Key& key, Instant at) {
     this->Clear(key);
@@ -30,7 +30,8 @@
     this->order.erase({found->second, key});
     this->moments.erase(found);
   }
-  /// @return keys whose moment has come, earliest first; they are cleared
+  /// @return the keys of all due timers, earliest first; these timers are
+  ///   cleared
   [[nodiscard]] std::vector<Key> TakeDue(Instant now) {
     std::vector<Key> due;
     while (!this->order.empty() && this->order.begin()->at <= now) {
@@ -39,7 +40,7 @@
     }
     return due;
   }
-  /// @return the earliest moment, `Instant::max()` if there is none
+  /// @return the time of the earliest timer, `Instant::max()` if there is none
   [[nodiscard]] Instant Next() const {
     return this->order.empty() ? Instant::max() : this->order.begin()->at;
   }
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Idle time after which a worker that gets only a share of its work is tried
-/// with all of it.
+/// Idle time after which a worker limited to a share of its capacity is opened
+/// fully.
 constexpr Duration kIdleProbeDelay = std::chrono::seconds(10);
 
 }  // namespace
@@ -31,8 +31,9 @@
     this->parts->context.Record(
         WorkerEvent(TimelineKind::kWorkerLeaving, worker));
   }
-  // Failure: a worker that is still owned when it is called live again is not
-  // attached anew, so nothing would open it, and it would idle for good.
+  // Failure: a worker that is still owned when the host list no longer marks it
+  // as leaving is not attached again. Without this nothing would make it
+  // placeable, and it would stay idle permanently.
   for (const WorkerId& worker : staying) {
     if (this->open.contains(worker)) {
       this->ApplyStanding(worker);
@@ -95,7 +96,7 @@
 
 void WorkerFlow::TrackForeignTasks(const WorkerReport& report) {
   for (const RunningTask& task : report.running) {
-    // A report that was made before the end of a task may arrive after it.
+    // A report created before the end of a task may arrive after it.
     const bool over = this->parts->tasks.EndedRecently(task.task);
     if (this->parts->tasks.IsTracked(task.task) || over) {
       continue;
@@ -229,7 +230,8 @@
     if (renew != nullptr) {
       this->parts->tasks.OnRenewalSent(renew->worker);
     }
-    // A release takes the worker out of placement before it is answered.
+    // A released worker is excluded from placement before the release is
+    // confirmed.
     const auto* release = std::get_if<ReleaseWorker>(&actions[i]);
     if (release != nullptr) {
       this->parts->ledger.SetPlaceable(release->worker, false);
@@ -287,9 +289,9 @@
 }
 
 void WorkerFlow::CloseLost() {
-  // Failure: a release got no answer for so long that the lease counts as
-  // given up. Nothing reports that, and the ledger would go on to show a worker
-  // on which nothing can be started.
+  // Failure: a release was not confirmed before the lease expired. No event
+  // reports this, and the ledger would keep a worker on which nothing can be
+  // started.
   const std::set<WorkerId> counted = this->open;
   for (const WorkerId& worker : counted) {
     if (!this->parts->ownership.Held(worker)) {
@@ -299,10 +301,10 @@
 }
 
 void WorkerFlow::ProbeIdle() {
-  // Failure: a worker that failed everything is kept to a few slots until a
-  // task succeeds there. If all that waits are gangs, which need more slots,
-  // nothing is ever tried on it and they wait for ever. An idle worker is
-  // opened wholly after a while.
+  // Failure: a worker on which all tasks failed is limited to a few slots until
+  // a task succeeds there. If only gangs that need more slots are queued, no
+  // task is ever placed on it and they wait forever. So an idle worker is
+  // opened fully after a delay.
   const Instant now = this->parts->context.now;
   for (auto& [worker, idle_since] : this->capped) {
     if (!this->parts->tasks.IdleAt(worker)) {
@@ -318,7 +320,7 @@
   CoreContext& context = this->parts->context;
   const WorkerStanding standing =
       this->parts->health.Standing(context.now, worker);
-  // Not owned in this sense: leaving, or it did not answer lately.
+  // A worker that is leaving or did not answer recently is not usable.
   const bool usable =
       this->parts->ownership.Owned(context.now, worker).has_value();
   this->parts->ledger.SetPlaceable(worker, standing.placeable && usable,
--- a/packages/core/src/lifecycle/worker_flow.h
+++ b/packages/core/src/lifecycle/worker_flow.h
@@ -15,13 +15,13 @@
 
 struct Parts;
 
-/// Keeps the ledger, the scheduler and the health of workers in line with the
+/// Keeps the ledger, the scheduler and the worker health consistent with the
 /// leases that this process holds.
 class WorkerFlow {
  public:
   explicit WorkerFlow(Parts* parts) : parts(parts) {}
 
-  /// Takes over the workers that the settings name.
+  /// Adds the workers named in the settings.
   void Boot();
   void On(const HostListArrived& event);
   void On(const WorkerAttached& event);
@@ -29,29 +29,29 @@
   void On(const WorkerRenewed& event);
   void On(const WorkerUnreachable& event);
   void On(const WorkerReleased& event);
-  /// Attaches, renews and releases what is due, and follows the standing of
-  /// workers.
+  /// Attaches, renews and releases workers that are due, and applies changes in
+  /// their health.
   void Tick();
-  /// Gives all leases back.
+  /// Releases all leases.
   void ReleaseAll();
   /// @return true if every release was answered
   [[nodiscard]] bool AllReleased() const { return this->releasing.empty(); }
 
-  /// Sends a renewal out of turn.
+  /// Sends a renewal immediately.
   void RenewNow(const WorkerId& worker, const OwnedWorker& owned);
-  /// @return `ip:port`, empty if the worker is not known
+  /// @return `ip:port`, empty if the worker is unknown
   [[nodiscard]] std::string AddressOf(const WorkerId& worker) const;
 
-  /// @return true if a task of the request, started by another process, runs at
-  ///   a worker of this one
+  /// @return true if an owned worker runs a task of the request that another
+  ///   process started
   [[nodiscard]] bool RunsOrphanOf(const RequestId& request) const;
-  /// Stops such tasks.
+  /// Stops tasks of the request at owned workers that other processes started.
   void StopOrphansOf(const RequestId& request);
-  /// Places nothing more on a worker whose lease may be gone.
+  /// Excludes a worker from placement if its lease may have been lost.
   void Suspend(const WorkerId& worker);
-  /// Closes workers whose lease was given up without an answer.
+  /// Closes workers whose lease expired without a confirmed release.
   void CloseLost();
-  /// Lets work onto workers that would else never show whether they are well.
+  /// Lifts the load limit of idle workers, so that their health can be tested.
   void ProbeIdle();
   [[nodiscard]] std::size_t KnownCount() const {
     return this->directory.size();
@@ -62,7 +62,8 @@
   void Close(const WorkerId& worker);
   void TrackForeignTasks(const WorkerReport& report);
   void FreeEndedForeignTasks(const WorkerReport& report);
-  /// @return workers that were leaving and are not called so any more
+  /// @return workers that were leaving according to the previous host list and
+  ///   no longer are
   [[nodiscard]] std::vector<WorkerId> NoLongerLeaving(
       const std::vector<WorkerDescription>& workers) const;
   void UpdateDirectory(const std::vector<WorkerDescription>& workers);
@@ -70,19 +71,20 @@
   void TrackLeaseActions(std::size_t first_action);
 
   Parts* parts;
-  /// Of all data centres, so that journals that name them can be followed up.
+  /// Workers of all data centres, since journals may refer to any of them.
   std::map<WorkerId, WorkerDescription> directory;
-  /// Tasks at owned workers that this process did not start, with what runs
-  /// them.
+  /// Tasks at owned workers that this process did not start, with their
+  /// requests.
   std::map<WorkerId, std::map<TaskId, RequestId>> foreign_tasks;
-  /// Workers that the ledger counts.
+  /// Workers that are open in the ledger.
   std::set<WorkerId> open;
   std::set<WorkerId> ejected;
-  /// Workers of which only a share may be used, with when they were seen idle.
+  /// Workers limited to a share of their capacity, with the time since which
+  /// they are idle.
   std::map<WorkerId, Instant> capped;
-  /// Open workers that take nothing new until they answer again.
+  /// Open workers excluded from placement until they are reachable again.
   std::set<WorkerId> suspended;
-  /// Workers whose release is not answered yet.
+  /// Workers whose release is not confirmed yet.
   std::set<WorkerId> releasing;
 };
 
