--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -34,8 +34,8 @@
   BOOST_TEST(View(status.result.body) == "answer");
 }
 
-// A caller hands in a review whose record can never fit into the journal. It
-// was told "not recorded now" with a time to come back, and came back for ever.
+// Deferred work whose record exceeds the maximum batch size must be refused
+// permanently. Answered with a retry delay, the caller would retry forever.
 BOOST_AUTO_TEST_CASE(work_too_large_for_a_batch_is_refused_permanently) {
   CoreHarness harness(1);
   Request request = harness.MakeRequest("review");
@@ -49,8 +49,8 @@
   BOOST_TEST(harness.Take<AppendJournal>().empty());
 }
 
-// The platform does not answer. The caller must not be told 202, and the work
-// must not start, before the record is durable.
+// While the platform does not answer, the work must be neither confirmed with
+// status 202 nor started: its record is not durable yet.
 BOOST_AUTO_TEST_CASE(nothing_is_accepted_or_started_before_it_is_durable) {
   CoreHarness harness(1);
   harness.journal_answers = false;
@@ -70,8 +70,9 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// The append was sent and the platform went away before it answered. The work
-// may be recorded, so the caller is told "unknown" and not "not run".
+// The append was sent but not confirmed before the platform became unreachable.
+// The work may be recorded, so the answer must be "unknown" instead of "not
+// run".
 BOOST_AUTO_TEST_CASE(an_unconfirmed_accept_is_answered_unknown) {
   CoreHarness harness(1);
   harness.journal_answers = false;
@@ -85,9 +86,10 @@
   BOOST_TEST(refused.answer.retry_after.count() > 0);
 }
 
-// The worker's lease is lost and taken again while the *started* record is on
-// its way. The new report was made without this task, so its room may be taken:
-// it must be placed anew instead of being sent under the new lease.
+// The worker's lease is lost and acquired again while the *started* record is
+// being written. The new report does not contain this task, so its resources
+// may be in use; the task must be placed again instead of being sent under the
+// new lease.
 BOOST_AUTO_TEST_CASE(a_start_is_not_sent_under_a_newer_lease) {
   CoreHarness harness(1);
   harness.journal_answers = false;
@@ -107,7 +109,7 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// The host begins to leave while the *started* record is on its way.
+// The host starts to leave while the *started* record is being written.
 BOOST_AUTO_TEST_CASE(a_start_is_not_sent_to_a_leaving_host) {
   CoreHarness harness(1);
   harness.journal_answers = false;
@@ -121,8 +123,9 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// A peer adopted this process's journal while it was paused. Its next append
-// finds the sequence number taken: nothing of that journal starts here again.
+// A peer adopted the journal of this process during a pause. The next append
+// finds its sequence number in use; no work of that journal may start here
+// afterwards.
 BOOST_AUTO_TEST_CASE(a_fenced_journal_stops_its_deferred_work) {
   CoreHarness harness(1);
   harness.journal_answers = false;
@@ -139,9 +142,9 @@
   BOOST_TEST(status.journals.front() != started.journal);
 }
 
-// Process p2 died after it had journalled a start. The adopter writes its fence
-// first, then asks the worker: the task runs, so it is not started again, and
-// its end is recorded here.
+// Process p2 died after it had journalled a start. The adopter writes its
+// fence, then queries the worker. The task is running, so it is not started
+// again, and its end is recorded here.
 BOOST_AUTO_TEST_CASE(an_adopted_running_task_is_followed_to_its_end) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
@@ -157,7 +160,8 @@
   harness.Send(JournalsListed{{journal}});
   harness.Advance(std::chrono::seconds(4));
   harness.Send(JournalsListed{{journal}});
-  // A first look tells whether it was handed over, a second one adopts it.
+  // The first read shows whether the journal was handed over; the second one
+  // adopts it.
   BOOST_TEST(harness.Take<ReadJournal>().size() == 2U);
   harness.Send(JournalRead{journal,
                            {{journal, 1, 11, {AcceptedRecord{request}}},
@@ -185,10 +189,9 @@
       (QueryStatus(&harness, request.id).state == DeferredState::kFinished));
 }
 
-// A caller asks for a result whose process does not answer. While the peers are
-// still being asked, this process adopts that journal and reads the end there.
-// The caller then read "finished" with an empty body instead of the result,
-// since only the state was looked up once nobody else knew more.
+// This process adopts a journal while it queries peers for a result recorded
+// there. Failure: once no peer knew the work, only its state was looked up
+// again, and the caller received "finished" with an empty body.
 BOOST_AUTO_TEST_CASE(a_result_adopted_during_a_peer_query_is_returned_in_full) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
@@ -218,8 +221,9 @@
   BOOST_TEST(View(answers.front().status->result.body) == "letter sent");
 }
 
-// The same, but a caller cancels: the work is adopted here while its former
-// holder is asked in vain. The caller was told a state, and the work ran on.
+// The same with a cancellation: the work is adopted here while its unreachable
+// former holder is queried. Failure: the caller received a state, and the work
+// was not cancelled.
 BOOST_AUTO_TEST_CASE(work_adopted_during_a_peer_query_is_cancelled_here) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
@@ -241,8 +245,8 @@
   BOOST_TEST(stops.front().task == start.order.task);
 }
 
-// Two processes read the journal of a dead one. The one whose fence comes too
-// late must not have touched the work: no start, no question, no stop.
+// Two processes read the journal of a dead process. The one whose fence is late
+// must not have acted on the work: no start, no query, no stop.
 BOOST_AUTO_TEST_CASE(adopted_work_is_not_acted_on_before_the_fence_is_durable) {
   CoreHarness harness(1);
   harness.journal_answers = false;
@@ -264,7 +268,7 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// One task of a deferred gang is refused. The other must not run on alone.
+// One task of a deferred gang is refused. The other one must be stopped.
 BOOST_AUTO_TEST_CASE(a_partially_started_deferred_gang_is_stopped) {
   CoreHarness harness(2);
   harness.SendRequest("means");
@@ -295,7 +299,8 @@
   BOOST_TEST(!answers.front().status->ran);
 }
 
-// Guards against work that goes on taking down each worker that starts it.
+// Guards against work that crashes each worker that runs it: it must fail after
+// a bounded number of lost workers.
 BOOST_AUTO_TEST_CASE(work_that_repeatedly_loses_its_worker_fails) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("review");
--- a/packages/core/tests/core_forward_test.cc
+++ b/packages/core/tests/core_forward_test.cc
@@ -32,10 +32,10 @@
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kCompleted));
 }
 
-// Story: all workers of a data centre belong to one process. Callers of its
-// peer see screens refused while the workers idle: the peer had sent as many as
-// the owner's last digest showed room for, and refused all else until the next
-// digest. Regression of "this entry process owns no worker".
+// One process owns all workers of a data centre. Failure: its peer forwarded
+// only as many requests as the owner's last digest had resources for and
+// refused all others with "this entry process owns no worker" until the next
+// digest, while workers were idle.
 BOOST_AUTO_TEST_CASE(a_process_without_workers_forwards_beyond_the_digest) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -45,10 +45,10 @@
   BOOST_TEST(harness.Take<Reply>().empty());
 }
 
-// A caller hangs up right after its screen was forwarded, and the cancellation
-// overtakes the screen on the way to the peer, which knows no such request yet.
-// The screen then ran to its end for nobody; so the cancellation is said again
-// until the peer answers.
+// A cancellation overtakes the forwarded request that it belongs to, and the
+// peer does not know the request yet. Failure: the request ran to its end
+// although its caller had disconnected. The cancellation must be repeated until
+// the peer answers.
 BOOST_AUTO_TEST_CASE(a_cancellation_is_repeated_until_the_peer_answers) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -71,8 +71,8 @@
   BOOST_TEST(harness.Take<ForwardCancel>().empty());
 }
 
-// The connection to the peer is refused, so the booking never left this
-// process: it goes to a peer of the other data centre instead.
+// The connection to the peer is refused, so the booking was never sent. It is
+// forwarded to a peer of the other data centre instead.
 BOOST_AUTO_TEST_CASE(a_forward_that_was_not_sent_goes_to_another_peer) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -83,8 +83,8 @@
   BOOST_TEST(TakeForward(&harness).peer == ProcessId("q1"));
 }
 
-// The connection to the peer breaks after the booking was sent. The caller is
-// told "unknown" at once, and no other process gets it.
+// The connection to the peer breaks after the booking was sent. The booking is
+// answered "unknown" immediately and not forwarded again.
 BOOST_AUTO_TEST_CASE(a_booking_lost_at_a_peer_is_answered_unknown_at_once) {
   CoreHarness harness(0);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -96,8 +96,8 @@
   BOOST_TEST(harness.Take<ForwardRequest>().empty());
 }
 
-// The same with a screen: the peer is told to stop it first, and only its word
-// that nothing runs lets the screen go to another peer.
+// The same with an idempotent request: the peer is asked to stop it, and the
+// request goes to another peer only after the peer confirmed that nothing runs.
 BOOST_AUTO_TEST_CASE(
     a_screen_lost_at_a_peer_is_recalled_before_it_is_placed_again) {
   CoreHarness harness(0);
@@ -117,7 +117,7 @@
   BOOST_TEST(TakeForward(&harness).peer == ProcessId("q1"));
 }
 
-// The other side of it: the peer stops the running task and then says so.
+// The peer's side of a recall: it stops the running task and then confirms.
 BOOST_AUTO_TEST_CASE(a_recalled_request_is_stopped_before_the_answer) {
   CoreHarness harness(1);
   Request request = harness.MakeRequest("screen");
--- a/packages/core/tests/core_harness.h
+++ b/packages/core/tests/core_harness.h
@@ -13,22 +13,22 @@
 
 namespace mustardproxy::testing {
 
-/// One core in virtual time. Workers and platform answer by themselves unless a
-/// test takes that over; all other actions are collected.
+/// A core driven in virtual time. Workers and platform answer automatically
+/// unless a test disables this; all other actions are collected.
 class CoreHarness {
  public:
-  /// Process `p1` of data centre `dc1` with the peers `p2` (near) and `q1`
-  /// (another data centre).
+  /// Creates process `p1` of data centre `dc1` with the peers `p2` (same data
+  /// centre) and `q1` (another data centre).
   explicit CoreHarness(std::int32_t workers);
 
   void Send(Event event);
-  /// Lets virtual time pass, with a tick whenever one is due.
+  /// Advances virtual time and delivers each tick that is due.
   void Advance(Duration duration);
-  /// Lets virtual time pass without a tick, as for a process that is paused.
+  /// Advances virtual time without ticks, as for a suspended process.
   void Pause(Duration duration) { this->now += duration; }
   [[nodiscard]] Instant Now() const { return this->now; }
 
-  /// Takes the collected actions of one kind out, in order.
+  /// Removes and returns the collected actions of one kind, in order.
   template <typename Kind>
   std::vector<Kind> Take() {
     std::vector<Kind> taken;
@@ -44,19 +44,20 @@
     return taken;
   }
 
-  /// A request with the next id; the service names are those of `Cell`.
+  /// @return a request with the next id; `service` is one of
+  ///   `CellConfiguration()`
   Request MakeRequest(const std::string& service);
   /// Sends a request.
   /// @return its id
   RequestId SendRequest(const std::string& service,
                         const std::string& key = "");
-  /// The start of a request's only task, which must have been sent.
+  /// Takes the start of a request's only task, which must have been sent.
   StartTask TakeStart();
   Reply TakeReply();
   /// Reports the end of a started task.
   void EndTask(const StartTask& start, std::int32_t status = 200,
                TaskEnd end = TaskEnd::kFinished);
-  /// A live peer with room for anything.
+  /// Adds a live peer with free resources.
   void AddPeerWithRoom(const std::string& peer, const std::string& data_center);
 
   /// Services: `screen` (urgent, idempotent), `booking` (urgent,
@@ -66,16 +67,16 @@
   static Configuration CellConfiguration();
 
   Core core;
-  /// Workers and journal answer by themselves.
+  /// Whether workers and the journal answer automatically.
   bool workers_answer = true;
   bool journal_answers = true;
-  /// Workers that do not answer.
+  /// Unreachable workers.
   std::set<WorkerId> silent_workers;
-  /// What each worker says it runs.
+  /// Running tasks reported by each worker.
   std::map<WorkerId, std::vector<RunningTask>> running;
   /// Epoch of the last attach to each worker.
   std::map<WorkerId, Epoch> epochs;
-  /// Ended tasks that the next renewal reports.
+  /// Ended tasks reported with the next renewal.
   std::map<WorkerId, std::vector<EndedTask>> ended;
   Incarnation worker_incarnation = 77;
 
--- a/packages/core/tests/core_key_test.cc
+++ b/packages/core/tests/core_key_test.cc
@@ -41,9 +41,9 @@
   BOOST_TEST((settled.front().answer.outcome == Outcome::kCompleted));
 }
 
-// Story: an entry process is paused while a booking claims its key, and wakes
-// when its caller has long given up and perhaps asked another one. The claim's
-// answer is the first thing it sees. The booking must not start now.
+// An entry process is paused while a booking claims its key, and resumes after
+// the caller's timeout, when the caller may have retried elsewhere. The first
+// event after the pause is the granted claim. The booking must not start.
 BOOST_AUTO_TEST_CASE(a_claim_granted_after_the_deadline_starts_nothing) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("booking", "k1");
@@ -58,9 +58,9 @@
   BOOST_TEST(settled.front().drop);
 }
 
-// Story: claims stayed in the platform for ever. One process of the cell has
-// the old ones removed, and not every process, whose calls the operators pay
-// for.
+// Old claims must be removed from the platform, where they would accumulate
+// otherwise. Only one process of the cell requests this, since operators pay
+// for the calls to the platform.
 BOOST_AUTO_TEST_CASE(one_process_of_the_cell_sweeps_old_claims) {
   CoreHarness harness(1);
   harness.Advance(std::chrono::minutes(30));
@@ -110,8 +110,9 @@
   BOOST_TEST(reply.answer.retry_after.count() > 0);
 }
 
-// The process that held the key died before it kept an answer. A repeat must
-// not run the booking again, and must not be told for ever to come back.
+// The process that held the claim died before it stored an answer. A repeat
+// must not run the booking again, and must not be answered with a retry delay
+// forever.
 BOOST_AUTO_TEST_CASE(a_repeat_after_its_holder_died_is_answered_unknown) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -121,8 +122,9 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// The claim's reply was lost, so the claim may stand though nothing started.
-// Once the platform is back the claim is dropped: a later repeat may run.
+// The reply to a claim was lost, so the claim may exist although nothing
+// started. Once the platform is reachable again the claim must be dropped, so
+// that a later repeat may run.
 BOOST_AUTO_TEST_CASE(a_possibly_granted_claim_is_dropped_later) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("booking", "k1");
--- a/packages/core/tests/core_operations_test.cc
+++ b/packages/core/tests/core_operations_test.cc
@@ -9,8 +9,8 @@
 
 BOOST_AUTO_TEST_SUITE(core_operations)
 
-// An operator's change is in force, and then an older document arrives late. It
-// must not take the change back.
+// An older configuration arrives after a newer one was applied. It must be
+// ignored.
 BOOST_AUTO_TEST_CASE(an_older_configuration_is_ignored) {
   CoreHarness harness(1);
   Configuration newer = CoreHarness::CellConfiguration();
@@ -49,9 +49,10 @@
   }
 }
 
-// The host list calls a worker leaving and, before that worker was empty and
-// released, live again. It must get work once more. Its lease never changed
-// hands, so nothing opened it again, and it idled while requests were refused.
+// The host list marks a worker as leaving and then, before the worker was idle
+// and released, no longer does. Failure: the lease was never released, so
+// nothing made the worker placeable again, and it stayed idle while requests
+// were refused.
 BOOST_AUTO_TEST_CASE(a_worker_that_is_no_longer_leaving_takes_work) {
   CoreHarness harness(1);
   WorkerDescription worker{WorkerId("w1"), "w1:80", DataCenterId("dc1"),
@@ -66,8 +67,9 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A stop in good order: the screen in progress ends and is answered, a new one
-// is refused, the journal is handed over, and only then the worker is released.
+// Graceful shutdown: the request in progress completes and is answered, a new
+// one is refused, the journal is handed over, and only then the worker is
+// released.
 BOOST_AUTO_TEST_CASE(a_graceful_shutdown_completes_requests_in_progress) {
   CoreHarness harness(1);
   harness.SendRequest("review");
--- a/packages/core/tests/core_recovery_test.cc
+++ b/packages/core/tests/core_recovery_test.cc
@@ -19,7 +19,8 @@
   }
 }
 
-/// Answers questions of the peer `p2` whether something of a request is left.
+/// Answers the collected queries to peers whether any task of a request is
+/// left.
 void AnswerPeers(CoreHarness* harness, std::optional<bool> left) {
   for (const AskPeer& ask : harness->Take<AskPeer>()) {
     BOOST_TEST(ask.stop_orphans);
@@ -36,8 +37,8 @@
 
 BOOST_AUTO_TEST_SUITE(core_recovery)
 
-// A worker misses two renewals and then answers again. Work that waited for it
-// must be placed there; it used to stay closed for good.
+// A worker misses two renewals and then answers again. Failure: it stayed
+// excluded from placement permanently. Queued work must be placed there.
 BOOST_AUTO_TEST_CASE(a_worker_that_becomes_reachable_again_takes_work) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
@@ -53,8 +54,8 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A review failed on the only worker. It must run there again after a while,
-// and not wait for another worker for ever.
+// A review failed on the only worker. It must be retried there after a delay
+// instead of waiting forever for another worker.
 BOOST_AUTO_TEST_CASE(work_that_failed_on_the_only_worker_is_tried_again) {
   CoreHarness harness(1);
   harness.SendRequest("review");
@@ -67,10 +68,11 @@
   BOOST_TEST(again.front().order.task != first.order.task);
 }
 
-// A process without workers hands its journal over while the record of one more
-// review is on its way to the platform. The caller is told 202 once it is
-// there, and the adopter runs the review. The former process had taken it up as
-// well: it could never start it, and told whoever asked that it is queued.
+// A process without workers hands its journal over while the *accepted* record
+// of another review is being written. The caller receives status 202 once the
+// record is durable, and the adopter runs the review. Failure: the former
+// process kept the review as well, could never start it, and reported it as
+// queued.
 BOOST_AUTO_TEST_CASE(work_recorded_after_the_handover_is_left_to_the_adopter) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
@@ -106,8 +108,9 @@
   BOOST_TEST(status.queued == 0);
 }
 
-// The only worker of this process is taken over while reviews wait for it. They
-// are handed to a peer that has workers, instead of waiting here for ever.
+// The only worker of this process is taken over while reviews are queued. They
+// must be handed over to a peer that owns workers instead of waiting here
+// forever.
 BOOST_AUTO_TEST_CASE(work_of_a_process_without_workers_is_handed_over) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
@@ -132,8 +135,8 @@
   BOOST_TEST(harness.core.Status(harness.Now()).deferred == 0);
 }
 
-// A journal that its writer handed over is adopted without the wait that
-// covers late heartbeats: results must not be out of reach for long.
+// A journal that its writer handed over is adopted without the delay that
+// covers late heartbeats, so that its results are available again soon.
 BOOST_AUTO_TEST_CASE(a_handed_over_journal_is_adopted_at_once) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
@@ -147,8 +150,8 @@
 }
 
 // A process died after it had started one of two tasks of a gang. The next
-// owner of the worker finds the task, learns that nobody follows it, and stops
-// it.
+// owner of the worker finds the task, learns that no process tracks it, and
+// stops it.
 BOOST_AUTO_TEST_CASE(a_partially_started_gang_of_a_dead_process_is_stopped) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("q1", "dc2");
@@ -168,10 +171,11 @@
   BOOST_TEST(stops.front().task == half.task);
 }
 
-// A rota was forwarded to a process that died after it had started one of two
-// tasks. The next owner of the worker asks around, and the forwarding process
-// still waits for the answer, so it says "running". It gives up at its caller's
-// timeout and stops nothing: the half rota then held its worker to the end.
+// A gang was forwarded to a process that died after it had started one of two
+// tasks. The next owner of the worker queries the peers, and the forwarding
+// process, which still waits for the answer, reports "running". At the caller's
+// timeout that process stops tracking the request without stopping the task.
+// Failure: the remaining task occupied its worker until its time limit.
 BOOST_AUTO_TEST_CASE(a_partial_gang_is_stopped_once_no_process_tracks_it) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -208,9 +212,9 @@
   BOOST_TEST(stops.front().task == half.task);
 }
 
-// A review was sent to a worker that froze before it read the order, and would
-// run it as soon as it goes on. The review must not be started elsewhere when
-// only the length of a task lease has passed.
+// A review was sent to a worker that was suspended before it read the start,
+// and that will run it once it resumes. The review must not be started
+// elsewhere after only the duration of a task lease.
 BOOST_AUTO_TEST_CASE(an_unconfirmed_start_outlasts_a_task_lease) {
   CoreHarness harness(2);
   harness.SendRequest("review");
@@ -231,9 +235,9 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A worker runs a booking, dies and is started again. Asked for the booking, it
-// says "never started", because it has forgotten. The caller must not be told
-// "not run", nor the booking be sent again.
+// A worker runs a booking, crashes and is restarted. It then answers a query
+// with "never started", since it has lost its state. The booking must neither
+// be answered "not run" nor be sent again.
 BOOST_AUTO_TEST_CASE(never_started_from_a_restarted_worker_is_not_trusted) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
@@ -245,8 +249,8 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// The same where the worker does not name its run: only renewals that it
-// accepts after the question show that it has not restarted.
+// The same for a worker that does not report its incarnation: only renewals
+// accepted after the query show that it has not restarted.
 BOOST_AUTO_TEST_CASE(never_started_is_confirmed_by_renewals) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
@@ -272,8 +276,8 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A screen runs for longer than its profile may wait, and then its worker
-// reports failure. The caller still has time, so it is tried elsewhere.
+// A screen runs for longer than its profile's maximum wait and then fails. The
+// caller's timeout has not expired, so it is retried on another worker.
 BOOST_AUTO_TEST_CASE(a_failure_after_a_long_run_is_still_tried_again) {
   CoreHarness harness(2);
   harness.SendRequest("screen");
@@ -284,9 +288,9 @@
   BOOST_TEST(second.worker != first.worker);
 }
 
-// A review runs at a worker that this process lost sight of. A peer reaches it,
-// owns it and renews the review's lease there. Only when the peer has stopped
-// it, and every peer has answered, may the review start elsewhere.
+// A review runs at a worker that this process can't reach, while a peer owns
+// the worker and renews the review's lease. The review may start elsewhere only
+// after the peer has stopped it and every peer has answered.
 BOOST_AUTO_TEST_CASE(a_review_whose_lease_a_peer_renews_is_not_started_again) {
   CoreHarness harness(2);
   harness.SendRequest("review");
@@ -310,8 +314,8 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// The other side of it: this process owns the worker, and stops what another
-// one has started there before it says that nothing is left.
+// The owner's side: this process stops the tasks that another process started
+// on its worker before it answers that none is left.
 BOOST_AUTO_TEST_CASE(an_orphan_is_stopped_for_a_peer) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
@@ -333,8 +337,8 @@
   BOOST_TEST(!harness.Take<AnswerQuery>().front().status->ran);
 }
 
-// A task of a gang fails by itself and the other is stopped, since its caller
-// has gone. Half an answer must not be passed off as the whole one.
+// One task of a gang fails by itself and the other one is stopped because the
+// caller disconnected. A partial answer must not be reported as complete.
 BOOST_AUTO_TEST_CASE(a_gang_with_a_stopped_task_is_not_answered_as_complete) {
   CoreHarness harness(2);
   const RequestId id = harness.SendRequest("rota");
@@ -347,8 +351,9 @@
 }
 
 // The former holder of a journal had planned a second attempt when it was
-// fenced off, and frees its room when it learns of that. The adopter's task
-// must not bear the same id, or its room would be freed while it runs.
+// fenced, and frees that attempt's resources when it learns of the fence. The
+// adopter's task must have another id, or its resources would be freed while it
+// runs.
 BOOST_AUTO_TEST_CASE(an_adopter_uses_distinct_task_ids) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
@@ -364,8 +369,9 @@
   BOOST_TEST(start.order.task != TaskId("p2.b2.1/0/2"));
 }
 
-// A worker is taken over with tasks of its former owner. They count against its
-// room until they have ended, or it would be given more than it has.
+// A worker is taken over with running tasks of its former owner. Their
+// resources stay allocated until they have ended, or the worker would be
+// overcommitted.
 BOOST_AUTO_TEST_CASE(tasks_found_at_a_takeover_keep_their_resources) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
@@ -389,10 +395,10 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 2U);
 }
 
-// A screen runs when its worker is taken over by a peer, as after a pause of
-// this process. Its caller hangs up. A stop with the old epoch would be
-// refused, so the new owner is told, or the screen holds the worker to its own
-// end.
+// A screen runs when a peer takes its worker over, for example after a pause of
+// this process, and then its caller disconnects. A stop under the old epoch
+// would be refused and the screen would occupy the worker until it ends, so the
+// new owner is asked to stop it.
 BOOST_AUTO_TEST_CASE(a_stop_at_a_worker_that_was_taken_over_goes_to_its_owner) {
   CoreHarness harness(1);
   harness.AddPeerWithRoom("p2", "dc1");
@@ -421,10 +427,10 @@
   BOOST_TEST(harness.Take<Reply>().size() == 1U);
 }
 
-// Story: a process dies while two reviews run. A peer adopts its journal,
-// follows the reviews, and takes their worker over a moment later. When they
-// have ended, their room must be free again. It stayed taken for as long as the
-// peer held the worker, and other work waited beside an idle worker for ever.
+// A process dies while two reviews run. A peer adopts its journal, tracks the
+// reviews, and then takes their worker over. Failure: the resources of the
+// reviews stayed allocated after they had ended, for as long as the peer held
+// the worker, and other work waited while the worker was idle.
 BOOST_AUTO_TEST_CASE(tasks_tracked_before_a_takeover_free_their_resources) {
   CoreHarness harness(2);
   const WorkerId worker("w2");
@@ -469,10 +475,10 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 16U);
 }
 
-// Story: a review runs when its process loses the journal to a peer, and gets
-// the journal back while the review still runs. When it has ended nothing may
-// count as running any more. The task was followed anew then, and what the
-// scheduler counted for it stayed for good.
+// A process loses its journal to a peer while a review runs, and adopts it back
+// while the review is still running. Failure: the task was tracked as a task of
+// another process, and the scheduler still counted it as running after it had
+// ended.
 BOOST_AUTO_TEST_CASE(work_adopted_back_by_its_process_is_counted_once) {
   CoreHarness harness(1);
   harness.SendRequest("review");
@@ -497,11 +503,11 @@
   BOOST_TEST(harness.core.Status(harness.Now()).free.slots == 8);
 }
 
-// Story: the platform is cut off while a process adopts a journal, and the
-// process has lost its workers when the adoption is confirmed, so that it has
-// handed all journals on. It took the adopted work up all the same, could never
-// record its end, and told whoever asked that the work runs, long after the
-// next adopter had finished it.
+// The platform is unreachable while a process adopts a journal. When the
+// adoption is confirmed, the process has lost its workers and handed all
+// journals over. Failure: it resumed the adopted work anyway, could never
+// record its end, and reported it as running long after the next adopter had
+// finished it.
 BOOST_AUTO_TEST_CASE(a_journal_handed_over_before_its_adoption_is_not_resumed) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
@@ -540,9 +546,9 @@
   BOOST_TEST(harness.core.Status(harness.Now()).deferred == 0);
 }
 
-// A caller gives up while its start is on its way, and the stop overtakes the
-// start. "Not stopped" does not mean that nothing runs: the worker is asked, so
-// that it refuses the start from then on.
+// A caller disconnects while the start is in transit, and the stop overtakes
+// the start. "Not stopped" does not mean that nothing will run: the worker must
+// be queried, after which it refuses the start.
 BOOST_AUTO_TEST_CASE(a_stop_that_overtakes_its_start_is_followed_up) {
   CoreHarness harness(1);
   const RequestId id = harness.SendRequest("screen");
@@ -555,8 +561,8 @@
   BOOST_TEST(queries.front().task == start.order.task);
 }
 
-// A screen ran and failed, and is given up while it waits for another try. The
-// caller must not be told "not run".
+// A screen ran and failed, and expires while it is queued for another attempt.
+// The answer must not be "not run".
 BOOST_AUTO_TEST_CASE(a_request_that_ran_is_never_answered_not_run) {
   CoreHarness harness(1);
   harness.SendRequest("screen");
--- a/packages/core/tests/core_request_test.cc
+++ b/packages/core/tests/core_request_test.cc
@@ -46,8 +46,8 @@
   BOOST_TEST((reply.answer.error == Error::kUnknownService));
 }
 
-// The worker reports a failure for an idempotent request. The caller sees the
-// answer of a second worker instead.
+// The worker reports a failure of an idempotent request. The caller receives
+// the answer of a second worker instead.
 BOOST_AUTO_TEST_CASE(a_failed_idempotent_task_is_tried_on_another_worker) {
   CoreHarness harness(2);
   harness.SendRequest("screen");
@@ -70,8 +70,8 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// A booking is sent to a worker whose connection is refused. The caller gets
-// the answer of the other worker: the first one never ran it.
+// The connection to the worker of a booking is refused. The booking never ran
+// there, so the caller gets the answer of another worker.
 BOOST_AUTO_TEST_CASE(a_start_that_was_never_sent_is_placed_again) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
@@ -84,8 +84,8 @@
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kCompleted));
 }
 
-// The answer to a booking is cut off. Asked on a new connection, the worker
-// still has it: the caller gets it whole, and nothing runs twice.
+// The answer to a booking is truncated. A query on a new connection returns the
+// whole answer, and nothing runs twice.
 BOOST_AUTO_TEST_CASE(a_lost_answer_is_fetched_by_task_id) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
@@ -107,8 +107,8 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// The answer to a booking is lost and the worker can't be asked. The caller is
-// told "unknown" at once, and the booking is not sent again.
+// The answer to a booking is lost and the worker is unreachable. The booking is
+// answered "unknown" immediately and not sent again.
 BOOST_AUTO_TEST_CASE(an_uncertain_booking_is_answered_unknown_at_once) {
   CoreHarness harness(2);
   harness.SendRequest("booking");
@@ -126,8 +126,8 @@
 }
 
 // The answer to a screen is lost and its worker is unreachable. It must not run
-// elsewhere while the task may still run: a second start comes only after the
-// task's lease has lapsed, or never.
+// elsewhere while the task may still run: a second start may only follow after
+// the task's lease has expired.
 BOOST_AUTO_TEST_CASE(an_uncertain_screen_never_runs_twice_at_once) {
   CoreHarness harness(2);
   harness.SendRequest("screen");
@@ -189,7 +189,7 @@
 }
 
 // One worker refuses its task of a gang. The other task is stopped, and then
-// the gang starts whole, under new task ids.
+// the whole gang starts again under new task ids.
 BOOST_AUTO_TEST_CASE(a_partially_started_gang_is_stopped_and_restarted) {
   CoreHarness harness(2);
   harness.SendRequest("rota");
