--- a/packages/core/src/lifecycle/deferred_acceptance.cc
+++ b/packages/core/src/lifecycle/deferred_acceptance.cc
@@ -66,7 +66,7 @@
   }
   this->parts->answers.Refuse(
       entry, Error::kBodyTooLarge, kTooLargeStatus,
-      "the record of deferred work is above journal.max_batch_bytes, " +
+      "the record of deferred work exceeds journal.max_batch_bytes, " +
           std::to_string(limit));
   return false;
 }
@@ -84,7 +84,7 @@
   // process or an adopter then runs the work. So "not run" could be false.
   this->parts->answers.AnswerUnknown(
       entry, Error::kJournalUnavailable,
-      "it is not known whether the work was recorded; ask for its state");
+      "it is not known whether the work was recorded; query its state");
 }
 
 void DeferredFlow::OnDurable(const JournalId& journal,
--- a/packages/core/src/lifecycle/deferred_ends.cc
+++ b/packages/core/src/lifecycle/deferred_ends.cc
@@ -73,7 +73,7 @@
   if (!idempotent) {
     this->End(work, failed ? DeferredState::kFailed : DeferredState::kUnknown,
               failed ? work->attempt.MergedAnswer()
-                     : UnknownEnd("the end of a task can not be learnt"));
+                     : UnknownEnd("the result of a task is unknown"));
     return;
   }
   const bool own_fault =
@@ -83,8 +83,9 @@
   }
   const bool at_fault = this->parts->health.TaskAtFault(work->request.id);
   if (at_fault || work->failures >= terms->max_attempts) {
-    Answer answer = failed ? work->attempt.MergedAnswer()
-                           : UnknownEnd("the task was stopped each time");
+    Answer answer = failed
+                        ? work->attempt.MergedAnswer()
+                        : UnknownEnd("the task was stopped in every attempt");
     answer.error = Error::kTaskFailed;
     this->End(work, DeferredState::kFailed, std::move(answer));
     return;
@@ -95,7 +96,7 @@
   }
   if (result == AttemptResult::kLost && ++work->losses >= kMaxLosses) {
     this->End(work, DeferredState::kFailed,
-              UnknownEnd("each worker that ran it was lost"));
+              UnknownEnd("every worker that ran the task was lost"));
     return;
   }
   this->Requeue(work);
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -189,7 +189,7 @@
   if (event.not_sent) {
     Answer answer;
     answer.error = Error::kPeerLost;
-    answer.detail = "peer " + event.peer.Text() + " can not be reached";
+    answer.detail = "peer " + event.peer.Text() + " is unreachable";
     this->HandleNotRun(entry, std::move(answer));
     return;
   }
@@ -201,7 +201,8 @@
   if (!recall) {
     this->parts->answers.AnswerUnknown(
         entry, Error::kPeerLost,
-        "peer " + event.peer.Text() + " was lost while it had the request");
+        "the connection to peer " + event.peer.Text() +
+            " was lost after the request was forwarded");
     return;
   }
   // The peer may still run the request. It must confirm that it has stopped the
@@ -233,15 +234,17 @@
   const bool stopped =
       event.status && event.status->state == DeferredState::kCancelled;
   if (!stopped) {
-    this->parts->answers.AnswerUnknown(entry, Error::kPeerLost,
-                                       "a peer lost sight of the request");
+    this->parts->answers.AnswerUnknown(
+        entry, Error::kPeerLost,
+        "a peer did not confirm that it stopped the request");
     return true;
   }
   Answer last;
   last.outcome = Outcome::kUnknown;
   last.status = kBadGatewayStatus;
   last.error = Error::kPeerLost;
-  last.detail = "a peer was lost while it had the request";
+  last.detail =
+      "the connection to a peer was lost after the request was forwarded";
   if (event.status->ran) {
     entry->may_have_run = true;
   } else {
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -63,7 +63,7 @@
   RequestAnswers& answers = this->parts->answers;
   if (claim.body_hash != BodyHash(View(entry->request.body))) {
     answers.Refuse(entry, Error::kKeyReused, kUnprocessableStatus,
-                   "the idempotency key came with another body before");
+                   "the idempotency key was used with a different body before");
     return;
   }
   if (claim.answer) {
@@ -75,7 +75,7 @@
     answer.outcome = Outcome::kUnknown;
     answer.status = kBadGatewayStatus;
     answer.error = Error::kPeerLost;
-    answer.detail = "the process that held the key is gone";
+    answer.detail = "the process that claimed the idempotency key is gone";
     answers.Finish(entry, std::move(answer));
     return;
   }
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -324,7 +324,7 @@
     return record;
   }
   record.answer.body.reset();
-  record.answer.detail = "the answer was too large to be kept";
+  record.answer.detail = "the answer is too large to be stored";
   record.state = DeferredState::kFailed;
   return record;
 }
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -105,7 +105,7 @@
   status.id = request;
   status.state = entry->state;
   status.ran = entry->ran || !entry->started.empty();
-  status.detail = "its journal is changing hands";
+  status.detail = "its journal is being transferred to another process";
   return status;
 }
 
@@ -218,7 +218,7 @@
     this->parts->deferred.ForgetCancelQuery(request, query);
     std::optional<DeferredStatus> status = this->StatusHere(request);
     if (status) {
-      status->detail = "the cancellation is not settled yet";
+      status->detail = "the cancellation is not confirmed yet";
     }
     this->Answer(query, std::move(status));
   }
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -124,7 +124,7 @@
       result == AttemptResult::kLost ? Error::kWorkerLost : Error::kTaskFailed;
   last.detail = result == AttemptResult::kLost
                     ? "a worker was lost while it ran the task"
-                    : "a task was stopped before its end";
+                    : "a task was stopped before it ended";
   if (result == AttemptResult::kFailed) {
     last = attempt.MergedAnswer();
     entry->last_failure = last;
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -168,7 +168,7 @@
   }
   this->parts->answers.Refuse(
       entry, Error::kWaitTooLong, kUnavailableStatus,
-      "no room within the longest wait",
+      "no resources became free within the maximum wait",
       this->parts->scheduler.RetryAfter(this->parts->context.now));
 }
 
@@ -256,7 +256,7 @@
     case RequestPhase::kRecalling:
       this->parts->answers.AnswerUnknown(
           entry, Error::kPeerLost,
-          "a peer was lost and its fate not learnt in time");
+          "a lost peer did not confirm in time that it stopped the request");
       return;
     case RequestPhase::kJournalling:
       this->parts->deferred.OnAcceptTimeout(entry);
