--- a/packages/core/src/lifecycle/peer_consent.cc
+++ b/packages/core/src/lifecycle/peer_consent.cc
@@ -46,18 +46,18 @@
   if (found == this->pending_queries.end()) {
     return false;
   }
-  const PendingQuery query = std::move(found->second);
+  const PendingQuery pending = std::move(found->second);
   this->pending_queries.erase(found);
-  const auto inquiry = this->inquiries.find(query.request);
+  const auto inquiry = this->inquiries.find(pending.request);
   if (inquiry == this->inquiries.end()) {
     return true;
   }
-  inquiry->second.queried.erase(query.peer);
+  inquiry->second.queried.erase(pending.peer);
   // An empty answer may also mean that the peer could not be reached.
   const bool nothing_left = event.status && !event.status->ran &&
                             event.status->state == DeferredState::kUnknown;
   if (nothing_left) {
-    inquiry->second.consented[query.peer] = this->parts->context.now;
+    inquiry->second.consented[pending.peer] = this->parts->context.now;
   }
   return true;
 }
--- a/packages/core/src/lifecycle/query_flow.h
+++ b/packages/core/src/lifecycle/query_flow.h
@@ -52,7 +52,7 @@
       const RequestId& request) const;
   [[nodiscard]] std::vector<ProcessId> PeersToQuery(const RequestId& request,
                                                     bool from_peer) const;
-  void QueryNextPeer(RelayedQuery query);
+  void QueryNextPeer(RelayedQuery next);
   void Answer(std::uint64_t query, std::optional<DeferredStatus> status);
 
   Parts* parts;
