--- a/packages/core/src/lifecycle/deferred_flow.h
+++ b/packages/core/src/lifecycle/deferred_flow.h
@@ -91,7 +91,8 @@
   void OnExpired(const RequestId& request);
   /// @return false if this process has no unfinished work with this id
   [[nodiscard]] bool Cancel(const RequestId& request, std::uint64_t query);
-  /// Drops a query that was answered elsewhere.
+  /// Drops a cancellation query that was answered before the cancellation was
+  /// settled.
   void ForgetCancelQuery(const RequestId& request, std::uint64_t query);
   /// @return true if any work is parked or queued
   [[nodiscard]] bool AnyWaiting() const;
--- a/packages/core/src/lifecycle/key_claims.h
+++ b/packages/core/src/lifecycle/key_claims.h
@@ -33,7 +33,7 @@
   void Abandon(const Request& request);
   /// Stores the answer of a request that was already answered "unknown".
   void SettleUnknown(const RequestId& request, const Answer& answer);
-  /// Discards the claim of a request whose result can no longer be learnt.
+  /// Discards the claim of a request whose result can no longer be determined.
   void ForgetUnknown(const RequestId& request) {
     this->unknown_claims.erase(request);
   }
