--- a/packages/core/include/mustardproxy/core/membership.h
+++ b/packages/core/include/mustardproxy/core/membership.h
@@ -61,7 +61,7 @@
   bool OnDigest(Instant now, const Digest& digest);
   void OnUnreachable(Instant now, const ProcessId& peer);
   /// @return peers found gone since the last call
-  [[nodiscard]] std::vector<ProcessId> TakeLost(Instant now);
+  [[nodiscard]] std::vector<ProcessId> TakeLostPeers(Instant now);
 
   /// @return the name of this process
   [[nodiscard]] const ProcessId& Self() const;
@@ -70,7 +70,7 @@
   [[nodiscard]] std::uint64_t Generation() const;
   /// @return true once every member of the data centre was heard or had a
   ///   second to answer; before that a starting process would take all workers
-  [[nodiscard]] bool Settled(Instant now) const;
+  [[nodiscard]] bool DiscoveryComplete(Instant now) const;
   [[nodiscard]] bool Alive(const ProcessId& process) const;
   /// Live members of the own data centre, this process included, in order.
   /// A member that is stopping is left out.
@@ -80,13 +80,13 @@
   [[nodiscard]] ProcessId PreferredOwner(const RackId& rack) const;
   /// @return true if this process keeps the configuration watch of its data
   ///   centre
-  [[nodiscard]] bool KeepsWatch() const;
+  [[nodiscard]] bool IsConfigurationWatcher() const;
   /// Picks a peer for a request that does not fit here: the better of two
   /// drawn at random among those whose digest shows room, the own data centre
   /// first. Room already promised to a peer since its last digest is
   /// subtracted, so that an idle peer does not meet a herd.
   /// @param random 64 random bits
-  [[nodiscard]] std::optional<ProcessId> ChooseForward(
+  [[nodiscard]] std::optional<ProcessId> ChooseForwardTarget(
       Instant now, const Resources& needs, std::span<const ProcessId> avoid,
       std::uint64_t random);
   /// @return the last digest of a live peer
--- a/packages/core/src/forwarding.cc
+++ b/packages/core/src/forwarding.cc
@@ -92,7 +92,7 @@
 }  // namespace
 }  // namespace detail
 
-std::optional<ProcessId> Membership::ChooseForward(
+std::optional<ProcessId> Membership::ChooseForwardTarget(
     Instant now, const Resources& needs, std::span<const ProcessId> avoid,
     std::uint64_t random) {
   State& all = *this->state;
--- a/packages/core/src/lifecycle/configuration_flow.cc
+++ b/packages/core/src/lifecycle/configuration_flow.cc
@@ -29,7 +29,8 @@
 
 void ConfigurationFlow::Tick() {
   CoreContext& context = this->parts->context;
-  const bool keep = this->parts->membership.KeepsWatch() && !context.stopping;
+  const bool keep =
+      this->parts->membership.IsConfigurationWatcher() && !context.stopping;
   if (keep != this->watching) {
     this->watching = keep;
     context.Emit(WatchConfiguration{keep});
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -74,9 +74,10 @@
   if (!excluded) {
     return false;
   }
-  const std::optional<ProcessId> peer = this->parts->membership.ChooseForward(
-      this->parts->context.now, entry->terms.resources, *excluded,
-      this->parts->context.random());
+  const std::optional<ProcessId> peer =
+      this->parts->membership.ChooseForwardTarget(
+          this->parts->context.now, entry->terms.resources, *excluded,
+          this->parts->context.random());
   if (!peer) {
     return false;
   }
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -216,7 +216,8 @@
         return peer.data_center < options.self.data_center &&
                this->parts->membership.Alive(peer.process);
       });
-  return this->parts->membership.KeepsWatch() && !lower_data_center_alive;
+  return this->parts->membership.IsConfigurationWatcher() &&
+         !lower_data_center_alive;
 }
 
 void KeyClaims::EmitSettle(const RequestId& request, const Claim& claim,
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -141,7 +141,7 @@
     this->announced_state = current;
     this->membership.Tick(now, this->OwnDigest(), this->context.actions);
   }
-  for (const ProcessId& peer : this->membership.TakeLost(now)) {
+  for (const ProcessId& peer : this->membership.TakeLostPeers(now)) {
     this->context.Record(PeerEvent(TimelineKind::kPeerLost, peer));
     this->adoption.ScheduleList();
   }
--- a/packages/core/src/membership.cc
+++ b/packages/core/src/membership.cc
@@ -287,7 +287,7 @@
   all.next_wakeup = std::min(all.next_wakeup, all.SendDue(found->second));
 }
 
-std::vector<ProcessId> Membership::TakeLost(Instant now) {
+std::vector<ProcessId> Membership::TakeLostPeers(Instant now) {
   this->state->DropSilent(now);
   std::vector<ProcessId> lost;
   for (auto& [id, peer] : this->state->peers) {
@@ -301,7 +301,7 @@
 
 std::uint64_t Membership::Generation() const { return this->state->generation; }
 
-bool Membership::Settled(Instant now) const {
+bool Membership::DiscoveryComplete(Instant now) const {
   if (this->state->started && now - *this->state->started >= kSettleTime) {
     return true;
   }
@@ -324,7 +324,7 @@
   return this->state->HighestWeight(rack.Text());
 }
 
-bool Membership::KeepsWatch() const {
+bool Membership::IsConfigurationWatcher() const {
   // The first member that reaches the platform. If none does, the first of all
   // keeps trying, so that the outage costs one caller per data centre.
   const State& all = *this->state;
--- a/packages/core/src/membership_state.h
+++ b/packages/core/src/membership_state.h
@@ -24,7 +24,7 @@
   /// Of several in one data centre the highest one is linked.
   std::uint64_t link_weight = 0;
   bool alive = false;
-  /// Found gone and not yet reported by `TakeLost`.
+  /// Found gone and not yet reported by `TakeLostPeers`.
   bool lost = false;
   std::optional<Digest> digest;
   /// Digests received.
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -159,7 +159,7 @@
                      Actions* actions) {
   State& all = *this->state;
   all.self = membership.Self();
-  all.settled = all.settled || membership.Settled(now);
+  all.settled = all.settled || membership.DiscoveryComplete(now);
   if (!all.settled) {
     all.next_check = now + kSettleCheck;
     return;
--- a/packages/core/tests/membership_basic_test.cc
+++ b/packages/core/tests/membership_basic_test.cc
@@ -99,7 +99,7 @@
   std::vector<ProcessId> lost;
   for (auto now = Instant(1s); now < Instant(6s); now += 100ms) {
     membership.Tick(now, DigestOf("a", kHome), &actions);
-    for (const ProcessId& peer : membership.TakeLost(now)) {
+    for (const ProcessId& peer : membership.TakeLostPeers(now)) {
       BOOST_TEST((now >= Instant(3s)));
       lost.push_back(peer);
     }
--- a/packages/core/tests/membership_failure_test.cc
+++ b/packages/core/tests/membership_failure_test.cc
@@ -48,7 +48,7 @@
     }
     Actions actions;
     membership.Tick(Instant(1s), self, &actions);
-    if (membership.KeepsWatch()) keepers += self.process.Text();
+    if (membership.IsConfigurationWatcher()) keepers += self.process.Text();
   }
   return keepers;
 }
@@ -109,7 +109,7 @@
       if (peer == ProcessId("b")) membership.OnUnreachable(now, peer);
       if (peer == ProcessId("c")) (void)membership.OnDigest(now, DigestOf("c"));
     }
-    if (!membership.TakeLost(now).empty()) lost = now;
+    if (!membership.TakeLostPeers(now).empty()) lost = now;
   }
   BOOST_TEST((lost > Instant(1s)));
   BOOST_TEST((lost <= Instant(2s + 600ms)));
@@ -133,7 +133,7 @@
         (void)membership.OnDigest(now, DigestOf(peer.c_str()));
       }
     }
-    BOOST_TEST(membership.TakeLost(now).empty());
+    BOOST_TEST(membership.TakeLostPeers(now).empty());
   }
   BOOST_TEST(sent > 9);
   BOOST_TEST(membership.LocalMembers().size() == 3U);
--- a/packages/core/tests/membership_forward_test.cc
+++ b/packages/core/tests/membership_forward_test.cc
@@ -53,7 +53,7 @@
                         std::mt19937_64* random) {
   std::int32_t forwarded = 0;
   while (forwarded < 10'000 &&
-         membership->ChooseForward(now, kTask, {}, (*random)())) {
+         membership->ChooseForwardTarget(now, kTask, {}, (*random)())) {
     ++forwarded;
   }
   return forwarded;
@@ -69,7 +69,7 @@
   (void)membership.OnDigest(Instant(1s), FarRoom(800));
   (void)membership.OnDigest(Instant(1s), Room("b", 2));
   const auto choose = [&] {
-    return membership.ChooseForward(Instant(1s), kTask, {}, random());
+    return membership.ChooseForwardTarget(Instant(1s), kTask, {}, random());
   };
   BOOST_TEST((choose() == ProcessId("b")));
   BOOST_TEST((choose() == ProcessId("b")));
@@ -85,7 +85,8 @@
   (void)membership.OnDigest(Instant(1s), stopping);
   (void)membership.OnDigest(Instant(1s), scattered);
   (void)membership.OnDigest(Instant(1s), Room("d", 0));
-  BOOST_TEST(!membership.ChooseForward(Instant(1s), kTask, {}, 7).has_value());
+  BOOST_TEST(
+      !membership.ChooseForwardTarget(Instant(1s), kTask, {}, 7).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(the_busiest_of_several_is_never_chosen) {
@@ -98,7 +99,7 @@
   std::map<std::string, std::int32_t> chosen;
   for (std::int32_t i = 0; i < 500; ++i) {
     const auto peer =
-        membership.ChooseForward(Instant(1s), kTask, {}, random());
+        membership.ChooseForwardTarget(Instant(1s), kTask, {}, random());
     ++chosen[peer->Text()];
   }
   BOOST_TEST(chosen["b"] == 0);
@@ -164,13 +165,14 @@
   Membership b = EightMembers("b");
   (void)a.OnDigest(Instant(1s), Room("b", 1));
   (void)b.OnDigest(Instant(1s), Room("a", 1));
-  const auto first = a.ChooseForward(Instant(1s), kTask, {}, 11);
+  const auto first = a.ChooseForwardTarget(Instant(1s), kTask, {}, 11);
   BOOST_REQUIRE(first.has_value());
   BOOST_TEST(*first == ProcessId("b"));
   const std::array origin{ProcessId("a")};
-  BOOST_TEST(!b.ChooseForward(Instant(1s), kTask, origin, 12).has_value());
+  BOOST_TEST(
+      !b.ChooseForwardTarget(Instant(1s), kTask, origin, 12).has_value());
   // A second request finds the promised room used up.
-  BOOST_TEST(!a.ChooseForward(Instant(1s), kTask, {}, 13).has_value());
+  BOOST_TEST(!a.ChooseForwardTarget(Instant(1s), kTask, {}, 13).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/core/tests/ownership_cell.h
+++ b/packages/core/tests/ownership_cell.h
@@ -302,7 +302,7 @@
     if (process->membership.NextWakeup() <= this->now) {
       process->membership.Tick(this->now, digest, &actions);
     }
-    (void)process->membership.TakeLost(this->now);
+    (void)process->membership.TakeLostPeers(this->now);
     process->ownership.Tick(this->now, process->membership, &actions);
     for (const Action& action : actions) this->Perform(process, action);
     if (process->places) this->Place(process);
--- a/testing/bench_control/cell.cc
+++ b/testing/bench_control/cell.cc
@@ -143,7 +143,7 @@
     {
       const Stopwatch watch(&process->nanoseconds);
       process->membership.Tick(this->now, process->digest, &actions);
-      (void)process->membership.TakeLost(this->now);
+      (void)process->membership.TakeLostPeers(this->now);
     }
     for (const Action& action : actions) {
       const auto& sent = std::get<SendDigest>(action);
