--- a/packages/core/include/mustardproxy/core/ownership.h
+++ b/packages/core/include/mustardproxy/core/ownership.h
@@ -91,15 +91,16 @@
   /// tells who owns it now.
   void OnStartRefused(Instant now, const WorkerId& worker);
   /// A start was answered, which renewed the lease there.
-  void OnTraffic(Instant now, const WorkerId& worker);
+  void OnStartAnswered(Instant now, const WorkerId& worker);
 
   /// @return the lease held, if this process may send a start now: not for a
   ///   worker that is leaving, that did not answer twice in a row, or, with
   ///   `worker_checks_epoch` off, whose lease could have lapsed
-  [[nodiscard]] std::optional<OwnedWorker> Owned(Instant now,
-                                                 const WorkerId& worker) const;
+  [[nodiscard]] std::optional<OwnedWorker> OwnedForStart(
+      Instant now, const WorkerId& worker) const;
   /// @return the lease held, also where no start may be sent; for stops
-  [[nodiscard]] std::optional<OwnedWorker> Held(const WorkerId& worker) const;
+  [[nodiscard]] std::optional<OwnedWorker> HeldLease(
+      const WorkerId& worker) const;
   [[nodiscard]] std::optional<WorkerDescription> Describe(
       const WorkerId& worker) const;
   [[nodiscard]] std::size_t OwnedCount() const;
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -108,8 +108,8 @@
   plan.resources = placement.resources;
   plan.max_run = max_run;
   plan.detached = detached;
-  const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Owned(this->parts->context.now, placement.worker);
+  const std::optional<OwnedWorker> owned = this->parts->ownership.OwnedForStart(
+      this->parts->context.now, placement.worker);
   if (owned) {
     plan.epoch = owned->epoch;
     plan.worker_incarnation = owned->incarnation;
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -110,7 +110,7 @@
   // "not run". A restarted worker refuses renewals, so an accepted renewal sent
   // after the query shows that the answer is valid.
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(plan.worker);
+      this->parts->ownership.HeldLease(plan.worker);
   const bool can_confirm = answered_by == 0 && plan.worker_incarnation != 0 &&
                            owned &&
                            owned->incarnation == plan.worker_incarnation;
@@ -132,7 +132,7 @@
     return;
   }
   const bool owned =
-      this->parts->ownership.Held(tracked->plan.worker).has_value();
+      this->parts->ownership.HeldLease(tracked->plan.worker).has_value();
   if (tracked->plan.detached && owned) {
     this->ScheduleCheck(tracked, kDetachedPollInterval);
     return;
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -52,7 +52,7 @@
   const Instant now = this->parts->context.now;
   const TaskPlan& plan = tracked->plan;
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Owned(now, plan.worker);
+      this->parts->ownership.OwnedForStart(now, plan.worker);
   // Between the placement and this call the lease may have been lost or the
   // host may have started to leave, for example while a *started* record was
   // being written. Then there is no lease, or a newer one under which the
@@ -118,7 +118,7 @@
 
 void TaskTracker::SendStop(Tracked* tracked) {
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(tracked->plan.worker);
+      this->parts->ownership.HeldLease(tracked->plan.worker);
   this->ScheduleCheck(tracked, kStopTimeout);
   if (!owned) {
     this->StopAtOwner(*tracked);
@@ -148,7 +148,8 @@
 }
 
 void TaskTracker::On(const TaskStarted& event) {
-  this->parts->ownership.OnTraffic(this->parts->context.now, event.worker);
+  this->parts->ownership.OnStartAnswered(this->parts->context.now,
+                                         event.worker);
   Tracked* tracked = this->Find(event.task);
   if (tracked == nullptr || tracked->phase != Phase::kSent) {
     return;
@@ -157,7 +158,8 @@
 }
 
 void TaskTracker::On(const TaskEnded& event) {
-  this->parts->ownership.OnTraffic(this->parts->context.now, event.worker);
+  this->parts->ownership.OnStartAnswered(this->parts->context.now,
+                                         event.worker);
   this->Settle(event.ended.task, TaskUpdate::Kind::kEnded, event.ended);
 }
 
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -67,7 +67,7 @@
   const Instant now = this->parts->context.now;
   const bool rebuild = this->parts->ownership.OnAttached(now, report);
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(report.worker);
+      this->parts->ownership.HeldLease(report.worker);
   if (!owned || owned->epoch != report.epoch) {
     return;
   }
@@ -137,7 +137,7 @@
   this->parts->ownership.OnRenewed(now, report);
   this->parts->tasks.OnReport(report);
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(report.worker);
+      this->parts->ownership.HeldLease(report.worker);
   if (!owned || owned->epoch != report.epoch) {
     return;
   }
@@ -174,7 +174,8 @@
 
 void WorkerFlow::Suspend(const WorkerId& worker) {
   const bool open = this->parts->ledger.FreeOn(worker).has_value();
-  if (open && !this->parts->ownership.Owned(this->parts->context.now, worker)) {
+  if (open &&
+      !this->parts->ownership.OwnedForStart(this->parts->context.now, worker)) {
     this->parts->ledger.SetPlaceable(worker, false);
     this->suspended.insert(worker);
   }
@@ -273,7 +274,7 @@
 void WorkerFlow::StopOrphansOf(const RequestId& request) {
   for (const auto& [worker, tasks] : this->foreign_tasks) {
     const std::optional<OwnedWorker> owned =
-        this->parts->ownership.Held(worker);
+        this->parts->ownership.HeldLease(worker);
     for (const auto& [task, owner] : tasks) {
       if (owner != request || !owned) {
         continue;
@@ -294,7 +295,7 @@
   // started.
   const std::set<WorkerId> counted = this->open;
   for (const WorkerId& worker : counted) {
-    if (!this->parts->ownership.Held(worker)) {
+    if (!this->parts->ownership.HeldLease(worker)) {
       this->Close(worker);
     }
   }
@@ -322,7 +323,7 @@
       this->parts->health.Standing(context.now, worker);
   // A worker that is leaving or did not answer recently is not usable.
   const bool usable =
-      this->parts->ownership.Owned(context.now, worker).has_value();
+      this->parts->ownership.OwnedForStart(context.now, worker).has_value();
   this->parts->ledger.SetPlaceable(worker, standing.placeable && usable,
                                    standing.share);
   if (usable) {
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -310,7 +310,7 @@
   this->state->Plan(now, *lease);
 }
 
-void Ownership::OnTraffic(Instant now, const WorkerId& worker) {
+void Ownership::OnStartAnswered(Instant now, const WorkerId& worker) {
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr) return;
   lease->traffic = now;
@@ -319,7 +319,7 @@
   this->state->NoteActivity(now, lease);
 }
 
-std::optional<OwnedWorker> Ownership::Held(const WorkerId& worker) const {
+std::optional<OwnedWorker> Ownership::HeldLease(const WorkerId& worker) const {
   const Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kOwned) {
     return std::nullopt;
@@ -327,8 +327,8 @@
   return OwnedWorker{lease->description, lease->epoch, lease->incarnation};
 }
 
-std::optional<OwnedWorker> Ownership::Owned(Instant now,
-                                            const WorkerId& worker) const {
+std::optional<OwnedWorker> Ownership::OwnedForStart(
+    Instant now, const WorkerId& worker) const {
   const Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->description.leaving) return std::nullopt;
   if (lease->unreachable >= kUnreachableToSuspend) return std::nullopt;
@@ -341,7 +341,7 @@
   if (!this->state->options.worker_checks_epoch && !in_force) {
     return std::nullopt;
   }
-  return this->Held(worker);
+  return this->HeldLease(worker);
 }
 
 std::optional<WorkerDescription> Ownership::Describe(
--- a/packages/core/tests/ownership_basic_test.cc
+++ b/packages/core/tests/ownership_basic_test.cc
@@ -67,7 +67,7 @@
   BOOST_TEST(attach.worker == kWorker);
   BOOST_TEST(attach.epoch == 1U);
   BOOST_TEST((attach.lease == 3s));
-  BOOST_TEST(!cell.ownership.Owned(Instant(1s), kWorker).has_value());
+  BOOST_TEST(!cell.ownership.OwnedForStart(Instant(1s), kWorker).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_refusal_names_the_epoch_and_the_wait) {
@@ -85,7 +85,7 @@
   Alone cell;
   BOOST_TEST(cell.Attach(Instant(1s)));
   BOOST_TEST(cell.ownership.OwnedCount() == 1U);
-  BOOST_TEST(cell.ownership.Owned(Instant(1s), kWorker)->epoch == 1U);
+  BOOST_TEST(cell.ownership.OwnedForStart(Instant(1s), kWorker)->epoch == 1U);
   BOOST_TEST(cell.Tick(Instant(1600ms)).empty());
   const Actions actions = cell.Tick(Instant(1700ms));
   BOOST_REQUIRE(actions.size() == 1U);
@@ -110,7 +110,7 @@
   for (auto now = Instant(1s); now < Instant(60s); now += 100ms) {
     if (now.time_since_epoch() % 900ms == 0ms) {
       cell.ownership.OnStartSent(now, kWorker);
-      cell.ownership.OnTraffic(now, kWorker);
+      cell.ownership.OnStartAnswered(now, kWorker);
     }
     if (cell.Tick(now).empty()) continue;
     longest = std::max(longest, now - last);
@@ -127,8 +127,8 @@
   const std::vector<WorkerId> leaving = cell.ListHosts(true);
   BOOST_REQUIRE(leaving.size() == 1U);
   BOOST_TEST(leaving[0] == kWorker);
-  BOOST_TEST(!cell.ownership.Owned(Instant(1s), kWorker).has_value());
-  BOOST_TEST(cell.ownership.Held(kWorker).has_value());
+  BOOST_TEST(!cell.ownership.OwnedForStart(Instant(1s), kWorker).has_value());
+  BOOST_TEST(cell.ownership.HeldLease(kWorker).has_value());
 
   WorkerReport report;
   report.worker = kWorker;
@@ -160,7 +160,7 @@
   cell.ownership.ReleaseAll(Instant(2s), &actions);
   BOOST_REQUIRE(actions.size() == 1U);
   BOOST_TEST(std::get<ReleaseWorker>(actions[0]).epoch == 1U);
-  BOOST_TEST(!cell.ownership.Owned(Instant(2s), kWorker).has_value());
+  BOOST_TEST(!cell.ownership.OwnedForStart(Instant(2s), kWorker).has_value());
   cell.ownership.OnReleased(Instant(2s), kWorker);
   BOOST_TEST(cell.Tick(Instant(60s)).empty());
 }
--- a/packages/core/tests/ownership_cell.h
+++ b/packages/core/tests/ownership_cell.h
@@ -230,7 +230,7 @@
     std::size_t count = 0;
     for (const auto& worker : this->workers) {
       const WorkerId& id = worker->description.id;
-      if (this->At(name).ownership.Owned(this->now, id)) ++count;
+      if (this->At(name).ownership.OwnedForStart(this->now, id)) ++count;
     }
     return count;
   }
@@ -240,7 +240,8 @@
       const ProcessId owner =
           any.membership.PreferredOwner(worker->description.rack);
       ModelProcess& process = this->At(owner.Text());
-      return process.ownership.Owned(this->now, worker->description.id) &&
+      return process.ownership.OwnedForStart(this->now,
+                                             worker->description.id) &&
              worker->holder == process.sender;
     });
   }
@@ -409,7 +410,7 @@
   void Place(ModelProcess* process) {
     for (const auto& worker : this->workers) {
       const WorkerId& id = worker->description.id;
-      const auto owned = process->ownership.Owned(this->now, id);
+      const auto owned = process->ownership.OwnedForStart(this->now, id);
       if (!owned || process->ledger[id].size() >= kSlots) continue;
       const std::uint64_t task = ++this->last_task;
       process->ledger[id].insert(task);
@@ -422,7 +423,7 @@
     const auto ended = [=, this](bool ran) {
       Tell(process, [=, this] {
         process->ledger[worker].erase(task);
-        if (ran) process->ownership.OnTraffic(this->now, worker);
+        if (ran) process->ownership.OnStartAnswered(this->now, worker);
         if (!ran) process->ownership.OnStartRefused(this->now, worker);
       });
     };
--- a/packages/core/tests/ownership_change_test.cc
+++ b/packages/core/tests/ownership_change_test.cc
@@ -81,10 +81,10 @@
   OwnershipCell cell({"a"}, 1);
   ModelProcess& a = cell.Start("a");
   cell.Run(5s);
-  const auto before = a.ownership.Owned(cell.now, WorkerId("w00"));
+  const auto before = a.ownership.OwnedForStart(cell.now, WorkerId("w00"));
   cell.Worker(0).Restart();
   cell.Run(5s);
-  const auto after = a.ownership.Owned(cell.now, WorkerId("w00"));
+  const auto after = a.ownership.OwnedForStart(cell.now, WorkerId("w00"));
   BOOST_REQUIRE(before.has_value());
   BOOST_REQUIRE(after.has_value());
   BOOST_TEST(after->epoch > before->epoch);
@@ -141,7 +141,8 @@
   TellStarts(&cell, {"a", "b", "c"});
   cell.Run(60s);
   std::size_t worker = 0;
-  while (!cell.At("a").ownership.Owned(cell.now, cell.hosts[worker].id)) {
+  while (
+      !cell.At("a").ownership.OwnedForStart(cell.now, cell.hosts[worker].id)) {
     ++worker;
   }
   const WorkerId lost = cell.hosts[worker].id;
@@ -149,8 +150,8 @@
   const std::int32_t before = cell.Attaches();
   cell.Cut("a", lost.Text());
   cell.Run(80s);
-  const bool owned = cell.At("b").ownership.Owned(cell.now, lost) ||
-                     cell.At("c").ownership.Owned(cell.now, lost);
+  const bool owned = cell.At("b").ownership.OwnedForStart(cell.now, lost) ||
+                     cell.At("c").ownership.OwnedForStart(cell.now, lost);
   BOOST_TEST(owned);
   BOOST_TEST(cell.OwnedBy("a") == others);
   BOOST_TEST(cell.Attaches() == before + 1);
@@ -158,7 +159,7 @@
   // Once the way is back, the preferred owner gets it with the next offer.
   cell.Heal();
   cell.Run(3min);
-  BOOST_TEST(cell.At("a").ownership.Owned(cell.now, lost).has_value());
+  BOOST_TEST(cell.At("a").ownership.OwnedForStart(cell.now, lost).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_dead_worker_costs_few_messages) {
@@ -201,7 +202,7 @@
   cell.Run(10s);
   const std::int32_t attaches = cell.Attaches();
   BOOST_TEST(!a.ownership.OnUnreachable(cell.now, worker));
-  BOOST_TEST(a.ownership.Owned(cell.now, worker).has_value());
+  BOOST_TEST(a.ownership.OwnedForStart(cell.now, worker).has_value());
   cell.Run(4s);
   BOOST_TEST(!a.ownership.OnUnreachable(cell.now, worker));
   cell.Run(10s);
@@ -220,8 +221,8 @@
   Duration lost{0};
   const Instant cut = cell.now;
   cell.Run(12s, [&] {
-    const bool owned = a.ownership.Owned(cell.now, worker).has_value();
-    const bool held = a.ownership.Held(worker).has_value();
+    const bool owned = a.ownership.OwnedForStart(cell.now, worker).has_value();
+    const bool held = a.ownership.HeldLease(worker).has_value();
     if (!owned && suspended == Duration(0)) suspended = cell.now - cut;
     if (!held && lost == Duration(0)) lost = cell.now - cut;
   });
--- a/packages/core/tests/ownership_split_test.cc
+++ b/packages/core/tests/ownership_split_test.cc
@@ -71,8 +71,9 @@
   cell.Run(5s);
   ModelProcess& a = cell.At("a");
   std::size_t worker = 0;
-  while (!a.ownership.Owned(cell.now, cell.hosts[worker].id)) ++worker;
-  const Epoch epoch = a.ownership.Owned(cell.now, cell.hosts[worker].id)->epoch;
+  while (!a.ownership.OwnedForStart(cell.now, cell.hosts[worker].id)) ++worker;
+  const Epoch epoch =
+      a.ownership.OwnedForStart(cell.now, cell.hosts[worker].id)->epoch;
 
   a.paused = true;
   cell.At("b").places = true;
@@ -151,8 +152,8 @@
   report.epoch = 1;
   BOOST_TEST(a.ownership.OnAttached(sent + 700ms, report));
   const auto lapse = sent + options.lease;
-  BOOST_TEST(a.ownership.Owned(lapse - 1ms, kFirst).has_value());
-  BOOST_TEST(!a.ownership.Owned(lapse, kFirst).has_value());
+  BOOST_TEST(a.ownership.OwnedForStart(lapse - 1ms, kFirst).has_value());
+  BOOST_TEST(!a.ownership.OwnedForStart(lapse, kFirst).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_does_not_lengthen_a_later_call) {
@@ -180,7 +181,7 @@
   BOOST_REQUIRE(actions.size() == 3U);
   a.ownership.OnRenewed(now + 1ms, report);
   const auto lapse = first + options.lease;
-  BOOST_TEST(!a.ownership.Owned(lapse, kFirst).has_value());
+  BOOST_TEST(!a.ownership.OwnedForStart(lapse, kFirst).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/testing/bench_control/cell.cc
+++ b/testing/bench_control/cell.cc
@@ -179,9 +179,9 @@
     if (this->now.time_since_epoch() % interval >= kStep) return;
     const Stopwatch watch(&process->nanoseconds);
     for (const WorkerDescription& worker : this->workers) {
-      if (!process->ownership.Owned(this->now, worker.id)) continue;
+      if (!process->ownership.OwnedForStart(this->now, worker.id)) continue;
       process->ownership.OnStartSent(this->now, worker.id);
-      process->ownership.OnTraffic(this->now, worker.id);
+      process->ownership.OnStartAnswered(this->now, worker.id);
       // In a full worker each start takes the slot of a task that has ended.
       if (batch) ++this->unreported[worker.id];
     }
