--- a/packages/core/include/mustardproxy/core/worker_health.h
+++ b/packages/core/include/mustardproxy/core/worker_health.h
@@ -24,13 +24,13 @@
 };
 
 /// What placement may do with a worker.
-struct WorkerStanding {
+struct WorkerAvailability {
   bool placeable = true;
   /// Share of its slots that may be used, 0..1.
   double share = 1.0;
 
-  friend bool operator==(const WorkerStanding&,
-                         const WorkerStanding&) = default;
+  friend bool operator==(const WorkerAvailability&,
+                         const WorkerAvailability&) = default;
 };
 
 /// Tells workers that fail everything from tasks that fail everywhere. A worker
@@ -51,13 +51,13 @@
                  const RequestId& request);
   void Add(const WorkerId& worker);
   void Remove(const WorkerId& worker);
-  [[nodiscard]] WorkerStanding Standing(Instant now,
-                                        const WorkerId& worker) const;
+  [[nodiscard]] WorkerAvailability Availability(Instant now,
+                                                const WorkerId& worker) const;
   /// @return workers whose standing has changed since the last call
   [[nodiscard]] std::vector<WorkerId> TakeChanged(Instant now);
   /// @return true if the request failed on three distinct healthy workers, and
   ///   so is at fault itself
-  [[nodiscard]] bool TaskAtFault(const RequestId& request) const;
+  [[nodiscard]] bool RequestAtFault(const RequestId& request) const;
   void Forget(const RequestId& request);
   [[nodiscard]] Instant NextWakeup() const;
 
--- a/packages/core/src/lifecycle/deferred_ends.cc
+++ b/packages/core/src/lifecycle/deferred_ends.cc
@@ -81,7 +81,7 @@
   if (own_fault) {
     ++work->failures;
   }
-  const bool at_fault = this->parts->health.TaskAtFault(work->request.id);
+  const bool at_fault = this->parts->health.RequestAtFault(work->request.id);
   if (at_fault || work->failures >= terms->max_attempts) {
     Answer answer = failed
                         ? work->attempt.MergedAnswer()
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -130,7 +130,7 @@
     entry->last_failure = last;
   }
   const RequestId& id = entry->request.id;
-  const bool at_fault = this->parts->health.TaskAtFault(id);
+  const bool at_fault = this->parts->health.RequestAtFault(id);
   const bool again =
       entry->terms.idempotent && !at_fault && !entry->caller_gone &&
       (attempt.preempted || entry->runs < entry->terms.max_attempts);
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -319,8 +319,8 @@
 
 void WorkerFlow::ApplyStanding(const WorkerId& worker) {
   CoreContext& context = this->parts->context;
-  const WorkerStanding standing =
-      this->parts->health.Standing(context.now, worker);
+  const WorkerAvailability standing =
+      this->parts->health.Availability(context.now, worker);
   // A worker that is leaving or did not answer recently is not usable.
   const bool usable =
       this->parts->ownership.OwnedForStart(context.now, worker).has_value();
--- a/packages/core/src/worker_health.cc
+++ b/packages/core/src/worker_health.cc
@@ -112,7 +112,7 @@
   return ejected < std::max(cap, least);
 }
 
-WorkerStanding WorkerHealth::State::StandingOf(
+WorkerAvailability WorkerHealth::State::AvailabilityOf(
     Instant now, const HealthRecord& record) const {
   switch (record.stage) {
     case HealthStage::kEjected:
@@ -232,7 +232,7 @@
                         now - record.return_began >= this->options.return_time;
   if (returned) record.stage = HealthStage::kHealthy;
   if (record.stage == HealthStage::kHealthy) this->timed.erase(worker);
-  const WorkerStanding standing = this->StandingOf(now, record);
+  const WorkerAvailability standing = this->AvailabilityOf(now, record);
   if (standing != record.reported) changed->push_back(worker);
   record.reported = standing;
 }
@@ -313,11 +313,11 @@
   this->state->timed.erase(worker);
 }
 
-WorkerStanding WorkerHealth::Standing(Instant now,
-                                      const WorkerId& worker) const {
+WorkerAvailability WorkerHealth::Availability(Instant now,
+                                              const WorkerId& worker) const {
   const auto found = this->state->workers.find(worker);
   if (found == this->state->workers.end()) return {};
-  return this->state->StandingOf(now, found->second);
+  return this->state->AvailabilityOf(now, found->second);
 }
 
 std::vector<WorkerId> WorkerHealth::TakeChanged(Instant now) {
@@ -331,7 +331,7 @@
   return changed;
 }
 
-bool WorkerHealth::TaskAtFault(const RequestId& request) const {
+bool WorkerHealth::RequestAtFault(const RequestId& request) const {
   const auto found = this->state->requests.find(request);
   return found != this->state->requests.end() && found->second.at_fault;
 }
--- a/packages/core/src/worker_health_state.h
+++ b/packages/core/src/worker_health_state.h
@@ -38,7 +38,7 @@
   bool failed_probe = false;
   std::int32_t probes_succeeded = 0;
   Instant return_began;
-  WorkerStanding reported;
+  WorkerAvailability reported;
 };
 
 /// Where a service fails and whether it succeeds anywhere.
@@ -79,7 +79,7 @@
                                              const RequestId& request) const;
   [[nodiscard]] bool Failing(const detail::HealthRecord& record) const;
   [[nodiscard]] bool MayEjectOneMore() const;
-  [[nodiscard]] WorkerStanding StandingOf(
+  [[nodiscard]] WorkerAvailability AvailabilityOf(
       Instant now, const detail::HealthRecord& record) const;
   [[nodiscard]] std::optional<Instant> NextChange(
       const detail::HealthRecord& record) const;
--- a/packages/core/tests/worker_health_basic_test.cc
+++ b/packages/core/tests/worker_health_basic_test.cc
@@ -7,10 +7,10 @@
 using mustardproxy::Instant;
 using mustardproxy::RequestId;
 using mustardproxy::ServiceId;
+using mustardproxy::WorkerAvailability;
 using mustardproxy::WorkerHealth;
 using mustardproxy::WorkerHealthOptions;
 using mustardproxy::WorkerId;
-using mustardproxy::WorkerStanding;
 
 namespace {
 
@@ -36,10 +36,10 @@
 BOOST_AUTO_TEST_CASE(failures_in_a_row_eject) {
   WorkerHealth health = FourWorkers();
   Fail(&health, Instant(1s), 4);
-  BOOST_TEST(health.Standing(Instant(1s), WorkerId("w1")).placeable);
+  BOOST_TEST(health.Availability(Instant(1s), WorkerId("w1")).placeable);
   BOOST_TEST(health.TakeChanged(Instant(1s)).empty());
   Fail(&health, Instant(1s), 1);
-  BOOST_TEST(!health.Standing(Instant(1s), WorkerId("w1")).placeable);
+  BOOST_TEST(!health.Availability(Instant(1s), WorkerId("w1")).placeable);
   const std::vector<WorkerId> changed = health.TakeChanged(Instant(1s));
   BOOST_REQUIRE(changed.size() == 1U);
   BOOST_TEST(changed[0] == WorkerId("w1"));
@@ -51,7 +51,7 @@
     Fail(&health, Instant(1s), 4);
     health.OnSuccess(Instant(1s), WorkerId("w1"));
   }
-  BOOST_TEST(health.Standing(Instant(1s), WorkerId("w1")).share == 1.0);
+  BOOST_TEST(health.Availability(Instant(1s), WorkerId("w1")).share == 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(an_ejected_worker_is_probed_and_returns_slowly) {
@@ -59,14 +59,14 @@
   const WorkerId worker("w1");
   Fail(&health, Instant(1s), 5);
   BOOST_TEST((health.NextWakeup() == Instant(6s)));
-  const WorkerStanding probed = health.Standing(Instant(6s), worker);
+  const WorkerAvailability probed = health.Availability(Instant(6s), worker);
   BOOST_TEST(probed.placeable);
   BOOST_TEST(probed.share < 0.2);
   for (std::int32_t i = 0; i < 3; ++i) health.OnSuccess(Instant(7s), worker);
   double last = probed.share;
   for (auto now = Instant(8s); now <= Instant(17s); now += 1s) {
     (void)health.TakeChanged(now);
-    const double share = health.Standing(now, worker).share;
+    const double share = health.Availability(now, worker).share;
     BOOST_TEST(share >= last);
     last = share;
     if (now < Instant(12s)) BOOST_TEST(share < 0.6);
@@ -79,8 +79,8 @@
   const WorkerId worker("w1");
   Fail(&health, Instant(1s), 5);
   Fail(&health, Instant(7s), 1);
-  BOOST_TEST(!health.Standing(Instant(16s), worker).placeable);
-  BOOST_TEST(health.Standing(Instant(17s), worker).placeable);
+  BOOST_TEST(!health.Availability(Instant(16s), worker).placeable);
+  BOOST_TEST(health.Availability(Instant(17s), worker).placeable);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/core/tests/worker_health_failure_test.cc
+++ b/packages/core/tests/worker_health_failure_test.cc
@@ -37,12 +37,12 @@
   [[nodiscard]] std::int32_t Ejected(Instant now) const {
     std::int32_t ejected = 0;
     for (const WorkerId& worker : this->workers) {
-      if (!this->health.Standing(now, worker).placeable) ++ejected;
+      if (!this->health.Availability(now, worker).placeable) ++ejected;
     }
     return ejected;
   }
   [[nodiscard]] double Share(Instant now, std::size_t worker) const {
-    return this->health.Standing(now, this->workers[worker]).share;
+    return this->health.Availability(now, this->workers[worker]).share;
   }
 };
 
@@ -111,12 +111,12 @@
   Ten cell;
   const RequestId poison("poison");
   for (std::size_t worker = 0; worker < 3; ++worker) {
-    BOOST_TEST(!cell.health.TaskAtFault(poison));
+    BOOST_TEST(!cell.health.RequestAtFault(poison));
     cell.health.OnFailure(Instant(1s), cell.workers[worker], kReview, poison);
   }
-  BOOST_TEST(cell.health.TaskAtFault(poison));
+  BOOST_TEST(cell.health.RequestAtFault(poison));
   cell.health.Forget(poison);
-  BOOST_TEST(!cell.health.TaskAtFault(poison));
+  BOOST_TEST(!cell.health.RequestAtFault(poison));
 }
 
 BOOST_AUTO_TEST_CASE(failures_of_a_bad_request_do_not_eject_good_workers) {
@@ -129,7 +129,7 @@
     for (std::size_t worker = 0; worker < 3; ++worker) {
       cell.health.OnFailure(Instant(1s), cell.workers[worker], kReview, poison);
     }
-    BOOST_TEST(cell.health.TaskAtFault(poison));
+    BOOST_TEST(cell.health.RequestAtFault(poison));
     BOOST_TEST(cell.Ejected(Instant(1s)) == 0);
   }
   BOOST_TEST(cell.Share(Instant(1s), 0) == 1.0);
@@ -148,7 +148,7 @@
   for (std::size_t worker = 1; worker < 4; ++worker) {
     cell.health.OnFailure(now, cell.workers[worker], kReview, poison);
   }
-  BOOST_TEST(cell.health.TaskAtFault(poison));
+  BOOST_TEST(cell.health.RequestAtFault(poison));
   BOOST_TEST(cell.Ejected(now) == 0);
 }
 
@@ -167,7 +167,7 @@
   for (std::size_t worker = 0; worker < 3; ++worker) {
     cell.health.OnFailure(now, cell.workers[worker], kReview, good);
   }
-  BOOST_TEST(!cell.health.TaskAtFault(good));
+  BOOST_TEST(!cell.health.RequestAtFault(good));
 }
 
 BOOST_AUTO_TEST_CASE(a_broken_service_does_not_eject_workers) {
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -145,7 +145,7 @@
   for (const WorkerId& worker : health.TakeChanged(now)) {
     WorkerSession* session = this->context->workers.FindLatest(worker);
     if (session == nullptr) continue;
-    const bool ejected = !health.Standing(now, worker).placeable;
+    const bool ejected = !health.Availability(now, worker).placeable;
     if (std::exchange(session->ejected, ejected) == ejected) continue;
     this->context->log->Write("workers",
                               ejected ? "worker-ejected" : "worker-readmitted",
--- a/testing/bench_decisions/dispatcher.cc
+++ b/testing/bench_decisions/dispatcher.cc
@@ -87,7 +87,7 @@
 
 void EjectingDispatcher::FollowHealth(Instant now) {
   for (const WorkerId& worker : this->health.TakeChanged(now)) {
-    const WorkerStanding standing = this->health.Standing(now, worker);
+    const WorkerAvailability standing = this->health.Availability(now, worker);
     this->ledger->SetPlaceable(worker, standing.placeable, standing.share);
   }
 }
