--- a/packages/core/include/mustardproxy/core/actions.h
+++ b/packages/core/include/mustardproxy/core/actions.h
@@ -33,7 +33,7 @@
   std::optional<DeferredStatus> status;
 };
 /// Ask a peer about deferred work; ends in `QueryAnswered`.
-struct AskPeer {
+struct QueryPeer {
   std::uint64_t query = 0;
   ProcessId peer;
   RequestId request;
@@ -144,7 +144,7 @@
 };
 /// Keep the answer beside the claim, so that a repeat gets the same one.
 /// `drop` removes the claim instead: the request provably did not run.
-struct SettleKey {
+struct ResolveKeyClaim {
   RequestId request;
   TeamId team;
   std::string key;
@@ -175,12 +175,12 @@
 struct ShutdownFinished {};
 
 using Action =
-    std::variant<Reply, ReplyAccepted, AnswerQuery, AskPeer, ForwardRequest,
+    std::variant<Reply, ReplyAccepted, AnswerQuery, QueryPeer, ForwardRequest,
                  ForwardCancel, AttachWorker, RenewWorker, ReleaseWorker,
                  StartTask, StopTask, QueryTask, SendDigest, FetchConfiguration,
                  WatchConfiguration, AppendJournal, ListJournals, ReadJournal,
-                 TrimJournal, SweepClaims, ClaimKey, SettleKey, RecordEvent,
-                 RecordSample, ShutdownFinished>;
+                 TrimJournal, SweepClaims, ClaimKey, ResolveKeyClaim,
+                 RecordEvent, RecordSample, ShutdownFinished>;
 
 /// Actions in the order in which they are to be begun.
 using Actions = std::vector<Action>;
--- a/packages/core/include/mustardproxy/core/events.h
+++ b/packages/core/include/mustardproxy/core/events.h
@@ -41,7 +41,7 @@
   /// Stop tasks of it that this process did not start itself.
   bool stop_orphans = false;
 };
-/// A peer's answer to an `AskPeer` action.
+/// A peer's answer to an `QueryPeer` action.
 struct QueryAnswered {
   std::uint64_t query = 0;
   /// Empty if the peer does not know the request or could not be asked.
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -210,7 +210,7 @@
   // request before the request is placed again, or it could run twice at the
   // same time.
   entry->phase = RequestPhase::kRecalling;
-  AskPeer ask;
+  QueryPeer ask;
   ask.query = this->parts->NewQuery();
   ask.peer = event.peer;
   ask.request = event.request;
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -222,7 +222,7 @@
 
 void KeyClaims::EmitSettle(const RequestId& request, const Claim& claim,
                            const Answer& answer, bool drop) {
-  SettleKey settle;
+  ResolveKeyClaim settle;
   settle.request = request;
   settle.team = claim.team;
   settle.key = claim.key;
--- a/packages/core/src/lifecycle/orphan_gangs.cc
+++ b/packages/core/src/lifecycle/orphan_gangs.cc
@@ -50,7 +50,7 @@
     this->retries.Set(request, this->parts->context.now);
     return;
   }
-  AskPeer ask;
+  QueryPeer ask;
   ask.query = this->parts->NewQuery();
   ask.peer = peers.back();
   ask.request = request;
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -309,7 +309,7 @@
     if (!this->membership.Alive(peer)) {
       continue;
     }
-    AskPeer ask;
+    QueryPeer ask;
     ask.query = this->NewQuery();
     ask.peer = peer;
     ask.request = request;
--- a/packages/core/src/lifecycle/peer_consent.cc
+++ b/packages/core/src/lifecycle/peer_consent.cc
@@ -14,7 +14,7 @@
     if (done || !inquiry.queried.insert(peer).second) {
       continue;
     }
-    AskPeer ask;
+    QueryPeer ask;
     ask.query = this->parts->NewQuery();
     ask.peer = peer;
     ask.request = request;
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -177,7 +177,7 @@
                  next.from_peer ? std::nullopt : this->LastKnown(next.request));
     return;
   }
-  AskPeer ask;
+  QueryPeer ask;
   ask.query = this->parts->NewQuery();
   ask.peer = next.peers_left.front();
   ask.request = next.request;
--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -210,8 +210,8 @@
                             {journal, 2, 12, {finished}},
                             {journal, 3, 13, {HandedOverRecord{}}}}});
   BOOST_TEST(harness.Take<AnswerQuery>().empty());
-  for (auto asked = harness.Take<AskPeer>(); !asked.empty();
-       asked = harness.Take<AskPeer>()) {
+  for (auto asked = harness.Take<QueryPeer>(); !asked.empty();
+       asked = harness.Take<QueryPeer>()) {
     harness.Send(QueryAnswered{asked.front().query, std::nullopt});
   }
   const auto answers = harness.Take<AnswerQuery>();
@@ -236,8 +236,8 @@
                            {{journal, 1, 11, {AcceptedRecord{request}}},
                             {journal, 2, 12, {HandedOverRecord{}}}}});
   const StartTask start = harness.TakeStart();
-  for (auto asked = harness.Take<AskPeer>(); !asked.empty();
-       asked = harness.Take<AskPeer>()) {
+  for (auto asked = harness.Take<QueryPeer>(); !asked.empty();
+       asked = harness.Take<QueryPeer>()) {
     harness.Send(QueryAnswered{asked.front().query, std::nullopt});
   }
   const auto stops = harness.Take<StopTask>();
--- a/packages/core/tests/core_forward_test.cc
+++ b/packages/core/tests/core_forward_test.cc
@@ -106,7 +106,7 @@
   const RequestId id = harness.SendRequest("screen");
   const ForwardRequest forward = TakeForward(&harness);
   harness.Send(ForwardFailed{id, forward.peer, false});
-  const auto asked = harness.Take<AskPeer>();
+  const auto asked = harness.Take<QueryPeer>();
   BOOST_TEST_REQUIRE(asked.size() == 1U);
   BOOST_TEST(asked.front().cancel);
   BOOST_TEST(harness.Take<ForwardRequest>().empty());
--- a/packages/core/tests/core_key_test.cc
+++ b/packages/core/tests/core_key_test.cc
@@ -35,7 +35,7 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
   harness.Send(KeyClaimed{id});
   harness.EndTask(harness.TakeStart());
-  const auto settled = harness.Take<SettleKey>();
+  const auto settled = harness.Take<ResolveKeyClaim>();
   BOOST_TEST_REQUIRE(settled.size() == 1U);
   BOOST_TEST(!settled.front().drop);
   BOOST_TEST((settled.front().answer.outcome == Outcome::kCompleted));
@@ -53,7 +53,7 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
   const Reply reply = harness.TakeReply();
   BOOST_TEST((reply.answer.outcome == Outcome::kNotRun));
-  const auto settled = harness.Take<SettleKey>();
+  const auto settled = harness.Take<ResolveKeyClaim>();
   BOOST_TEST_REQUIRE(!settled.empty());
   BOOST_TEST(settled.front().drop);
 }
@@ -84,7 +84,7 @@
   harness.Send(taken);
   BOOST_TEST(harness.TakeReply().answer.status == 201);
   BOOST_TEST(harness.Take<StartTask>().empty());
-  BOOST_TEST(harness.Take<SettleKey>().empty());
+  BOOST_TEST(harness.Take<ResolveKeyClaim>().empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_repeat_with_another_body_is_refused) {
@@ -133,9 +133,9 @@
   const Reply reply = harness.TakeReply();
   BOOST_TEST((reply.answer.outcome == Outcome::kNotRun));
   BOOST_TEST((reply.answer.error == Error::kJournalUnavailable));
-  harness.Take<SettleKey>();
+  harness.Take<ResolveKeyClaim>();
   harness.Send(PlatformReachability{true});
-  const auto settled = harness.Take<SettleKey>();
+  const auto settled = harness.Take<ResolveKeyClaim>();
   BOOST_TEST_REQUIRE(settled.size() == 1U);
   BOOST_TEST(settled.front().drop);
   BOOST_TEST(settled.front().request == id);
--- a/packages/core/tests/core_recovery_test.cc
+++ b/packages/core/tests/core_recovery_test.cc
@@ -22,7 +22,7 @@
 /// Answers the collected queries to peers whether any task of a request is
 /// left.
 void AnswerPeers(CoreHarness* harness, std::optional<bool> left) {
-  for (const AskPeer& ask : harness->Take<AskPeer>()) {
+  for (const QueryPeer& ask : harness->Take<QueryPeer>()) {
     BOOST_TEST(ask.stop_orphans);
     std::optional<DeferredStatus> status;
     if (left) {
@@ -162,7 +162,7 @@
   half.resources = {1000, 1000, 0, 1};
   harness.running[WorkerId("w1")].push_back(half);
   harness.Advance(std::chrono::seconds(12));
-  const auto asked = harness.Take<AskPeer>();
+  const auto asked = harness.Take<QueryPeer>();
   BOOST_TEST_REQUIRE(asked.size() == 1U);
   BOOST_TEST(harness.Take<StopTask>().empty());
   harness.Send(QueryAnswered{asked.front().query, std::nullopt});
@@ -185,7 +185,7 @@
   half.service = ServiceId("rota");
   half.resources = {1000, 1000, 0, 1};
   harness.running[WorkerId("w1")].push_back(half);
-  harness.Take<AskPeer>();
+  harness.Take<QueryPeer>();
   DeferredStatus waiting;
   waiting.id = half.request;
   waiting.state = DeferredState::kRunning;
@@ -193,7 +193,7 @@
   for (int i = 0; i < 12; ++i) {
     harness.Advance(std::chrono::seconds(1));
     harness.AddPeerWithRoom("p2", "dc1");
-    for (const AskPeer& ask : harness.Take<AskPeer>()) {
+    for (const QueryPeer& ask : harness.Take<QueryPeer>()) {
       harness.Send(QueryAnswered{ask.query, waiting});
       ++told;
     }
@@ -203,7 +203,7 @@
   for (int i = 0; i < 12; ++i) {
     harness.Advance(std::chrono::seconds(1));
     harness.AddPeerWithRoom("p2", "dc1");
-    for (const AskPeer& ask : harness.Take<AskPeer>()) {
+    for (const QueryPeer& ask : harness.Take<QueryPeer>()) {
       harness.Send(QueryAnswered{ask.query, std::nullopt});
     }
   }
@@ -226,7 +226,7 @@
     harness.Advance(std::chrono::seconds(1));
   }
   BOOST_TEST(harness.Take<StartTask>().empty());
-  BOOST_TEST(harness.Take<AskPeer>().empty());
+  BOOST_TEST(harness.Take<QueryPeer>().empty());
   for (int i = 0; i < 30; ++i) {
     AnswerQueries(&harness, TaskQueried::State::kUnreachable);
     AnswerPeers(&harness, false);
@@ -411,14 +411,14 @@
                              std::chrono::hours(1)});
   harness.Send(CancelRequested{id});
   BOOST_TEST(harness.Take<StopTask>().empty());
-  const auto asked = harness.Take<AskPeer>();
+  const auto asked = harness.Take<QueryPeer>();
   BOOST_TEST_REQUIRE(asked.size() == 1U);
   BOOST_TEST(asked.front().peer == ProcessId("p2"));
   BOOST_TEST(asked.front().request == id);
   BOOST_TEST(asked.front().stop_orphans);
   harness.Advance(std::chrono::milliseconds(1500));
   AnswerQueries(&harness, TaskQueried::State::kRunning);
-  BOOST_TEST(harness.Take<AskPeer>().size() == 1U);
+  BOOST_TEST(harness.Take<QueryPeer>().size() == 1U);
   harness.Advance(std::chrono::milliseconds(1500));
   EndedTask ended;
   ended.task = start.order.task;
--- a/packages/peer/include/mustardproxy/peer/peer_link.h
+++ b/packages/peer/include/mustardproxy/peer/peer_link.h
@@ -63,7 +63,7 @@
   void Perform(const ForwardRequest& action);
   void Perform(const ForwardCancel& action);
   void Perform(const FetchConfiguration& action);
-  void Perform(const AskPeer& action);
+  void Perform(const QueryPeer& action);
 
   /// Ends a forwarded request with its answer.
   /// @return false if the request did not come from a peer
--- a/packages/peer/src/client.cc
+++ b/packages/peer/src/client.cc
@@ -290,7 +290,7 @@
       "The configuration of process " + peer.Text() + " is malformed.");
 }
 
-void PeerClient::Ask(const AskPeer& action) {
+void PeerClient::Ask(const QueryPeer& action) {
   const auto call = this->Make<peer::QueryRequest, peer::QueryReply>(
       action.peer, kQueryTimeout);
   const auto done = [this, action](const grpc::Status& status, auto* ended) {
--- a/packages/peer/src/client.h
+++ b/packages/peer/src/client.h
@@ -41,7 +41,7 @@
   void Forward(const ForwardRequest& action);
   void Cancel(const ForwardCancel& action);
   void Fetch(const FetchConfiguration& action);
-  void Ask(const AskPeer& action);
+  void Ask(const QueryPeer& action);
   /// Ends all calls, after `limit` by force. No event is posted afterwards.
   void Stop(std::chrono::milliseconds limit);
 
--- a/packages/peer/src/peer_link.cc
+++ b/packages/peer/src/peer_link.cc
@@ -77,7 +77,7 @@
   this->state->client.Fetch(action);
 }
 
-void PeerLink::Perform(const AskPeer& action) {
+void PeerLink::Perform(const QueryPeer& action) {
   this->state->client.Ask(action);
 }
 
--- a/packages/peer/tests/query_test.cc
+++ b/packages/peer/tests/query_test.cc
@@ -5,7 +5,6 @@
 #include "node.h"
 
 using mustardproxy::AnswerQuery;
-using mustardproxy::AskPeer;
 using mustardproxy::ConfigurationArrived;
 using mustardproxy::DeferredState;
 using mustardproxy::DeferredStatus;
@@ -13,6 +12,7 @@
 using mustardproxy::ProcessId;
 using mustardproxy::QueryAnswered;
 using mustardproxy::QueryArrived;
+using mustardproxy::QueryPeer;
 using mustardproxy::RequestId;
 using mustardproxy::View;
 using mustardproxy::testing::kPatience;
@@ -23,8 +23,8 @@
 
 constexpr std::uint64_t kPeerBit = 1ULL << 63U;
 
-AskPeer MakeQuestion(std::uint64_t query, bool cancel) {
-  AskPeer ask;
+QueryPeer MakeQuestion(std::uint64_t query, bool cancel) {
+  QueryPeer ask;
   ask.query = query;
   ask.peer = ProcessId("e2");
   ask.request = RequestId("e2.b.1");
@@ -73,7 +73,7 @@
   Node b("e2");
   Node a("e1", {b.Address()});
   for (const bool stop : {true, false}) {
-    AskPeer ask = MakeQuestion(5, /*cancel=*/false);
+    QueryPeer ask = MakeQuestion(5, /*cancel=*/false);
     ask.stop_orphans = stop;
     a.link->Perform(ask);
     const auto arrived = b.events.Take<QueryArrived>();
@@ -107,7 +107,7 @@
   const auto dead = a.events.Take<QueryAnswered>();
   BOOST_REQUIRE(dead);
   BOOST_TEST(!dead->status);
-  AskPeer unknown = MakeQuestion(6, /*cancel=*/false);
+  QueryPeer unknown = MakeQuestion(6, /*cancel=*/false);
   unknown.peer = ProcessId("e9");
   a.link->Perform(unknown);
   const auto answered = a.events.Take<QueryAnswered>();
--- a/packages/peer/tests/stop_test.cc
+++ b/packages/peer/tests/stop_test.cc
@@ -4,7 +4,6 @@
 
 #include "node.h"
 
-using mustardproxy::AskPeer;
 using mustardproxy::ForwardAnswered;
 using mustardproxy::ForwardCancel;
 using mustardproxy::ForwardFailed;
@@ -12,6 +11,7 @@
 using mustardproxy::PeerUnreachable;
 using mustardproxy::ProcessId;
 using mustardproxy::QueryAnswered;
+using mustardproxy::QueryPeer;
 using mustardproxy::Reply;
 using mustardproxy::RequestArrived;
 using mustardproxy::RequestId;
@@ -74,7 +74,7 @@
   BOOST_REQUIRE(a.Connect("e2"));
   a.link->Perform(ForwardRequest{ProcessId("e2"), MakeRequest("e1.a.1")});
   BOOST_REQUIRE(b.events.Take<RequestArrived>());
-  AskPeer ask;
+  QueryPeer ask;
   ask.peer = ProcessId("e2");
   ask.request = RequestId("e2.c.1");
   a.link->Perform(ask);
@@ -112,7 +112,7 @@
   const ProcessId peer("e2");
   a.link->Perform(SendDigest{peer, a.MakeDigest()});
   BOOST_TEST(a.events.Take<PeerUnreachable>().has_value());
-  AskPeer ask;
+  QueryPeer ask;
   ask.peer = peer;
   a.link->Perform(ask);
   BOOST_TEST(a.events.Take<QueryAnswered>().has_value());
--- a/packages/platform/include/mustardproxy/platform/platform_link.h
+++ b/packages/platform/include/mustardproxy/platform/platform_link.h
@@ -53,7 +53,7 @@
   /// A round that begins while another one is under way does nothing.
   void Perform(const SweepClaims& action);
   void Perform(const ClaimKey& action);
-  void Perform(const SettleKey& action);
+  void Perform(const ResolveKeyClaim& action);
 
  private:
   struct State;
--- a/packages/platform/src/claim_keeper.cc
+++ b/packages/platform/src/claim_keeper.cc
@@ -174,7 +174,7 @@
   return Claiming(client, action).Run();
 }
 
-bool SettleClaim(KeyValueClient* client, const SettleKey& action) {
+bool SettleClaim(KeyValueClient* client, const ResolveKeyClaim& action) {
   const std::string name = ClaimKeyName(action.team, action.key);
   std::optional<ReadBucket> read = ReadAt(client, name);
   if (!read) {
--- a/packages/platform/src/claim_keeper.h
+++ b/packages/platform/src/claim_keeper.h
@@ -24,7 +24,8 @@
 
 /// Keeps the answer beside the claim, or drops the claim.
 /// @return false if it is to be tried again; repeating it is safe
-[[nodiscard]] bool SettleClaim(KeyValueClient* client, const SettleKey& action);
+[[nodiscard]] bool SettleClaim(KeyValueClient* client,
+                               const ResolveKeyClaim& action);
 
 }  // namespace mustardproxy::platform_detail
 
--- a/packages/platform/src/platform_link.cc
+++ b/packages/platform/src/platform_link.cc
@@ -93,7 +93,7 @@
 /// of them wait, and must not use the platform's rates up.
 class SettleJob {
  public:
-  explicit SettleJob(SettleKey action) : action(std::move(action)) {}
+  explicit SettleJob(ResolveKeyClaim action) : action(std::move(action)) {}
 
   std::optional<Duration> operator()(KeyValueClient* client) {
     if (platform_detail::SettleClaim(client, this->action)) {
@@ -105,7 +105,7 @@
   }
 
  private:
-  SettleKey action;
+  ResolveKeyClaim action;
   Duration pause = kRetryPause;
 };
 
@@ -283,7 +283,7 @@
   }
 }
 
-void PlatformLink::Perform(const SettleKey& action) {
+void PlatformLink::Perform(const ResolveKeyClaim& action) {
   if (!this->state->background_pool.Add(SettleJob(action))) {
     Log(Part::kPlatform, Level::kWarn,
         "The claim of request " + action.request.Text() + " stays open.");
--- a/packages/platform/tests/claim_sweep_test.cc
+++ b/packages/platform/tests/claim_sweep_test.cc
@@ -23,7 +23,7 @@
 using mustardproxy::Outcome;
 using mustardproxy::PlatformLink;
 using mustardproxy::RequestId;
-using mustardproxy::SettleKey;
+using mustardproxy::ResolveKeyClaim;
 using mustardproxy::SweepClaims;
 using mustardproxy::TeamId;
 using mustardproxy::platform_detail::ClaimSweeper;
@@ -43,7 +43,7 @@
                      ClaimKey{RequestId(request), kTeam, key, 1});
   }
   bool Answer(const std::string& request, const std::string& key) {
-    SettleKey settle{RequestId(request), kTeam, key, 1, {}, false};
+    ResolveKeyClaim settle{RequestId(request), kTeam, key, 1, {}, false};
     settle.answer.outcome = Outcome::kCompleted;
     return SettleClaim(&this->client, settle);
   }
--- a/packages/platform/tests/claim_test.cc
+++ b/packages/platform/tests/claim_test.cc
@@ -26,7 +26,7 @@
 using mustardproxy::Outcome;
 using mustardproxy::PlatformLink;
 using mustardproxy::RequestId;
-using mustardproxy::SettleKey;
+using mustardproxy::ResolveKeyClaim;
 using mustardproxy::SwapEnd;
 using mustardproxy::TeamId;
 using mustardproxy::View;
@@ -41,8 +41,8 @@
   return {RequestId(request), kTeam, std::move(key), 11};
 }
 
-SettleKey Settle(const std::string& request, bool drop) {
-  SettleKey settle{RequestId(request), kTeam, "key", 11, {}, drop};
+ResolveKeyClaim Settle(const std::string& request, bool drop) {
+  ResolveKeyClaim settle{RequestId(request), kTeam, "key", 11, {}, drop};
   settle.answer.outcome = Outcome::kCompleted;
   settle.answer.status = 200;
   settle.answer.body = std::make_shared<const std::string>("result");
@@ -236,7 +236,7 @@
   KeyValueClient client(this->platform.Url(), 10s);
   BOOST_TEST(std::holds_alternative<KeyClaimed>(
       platform_detail::TakeClaim(&client, Claim("r1"))));
-  SettleKey settle = Settle("r1", false);
+  ResolveKeyClaim settle = Settle("r1", false);
   settle.answer.body = std::make_shared<const std::string>(kMaxValueBytes, 'x');
   BOOST_TEST(platform_detail::SettleClaim(&client, settle));
   const Event end = platform_detail::TakeClaim(&client, Claim("r2"));
--- a/testing/fault_matrix/src/entry_peer_calls.cc
+++ b/testing/fault_matrix/src/entry_peer_calls.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Step EntryProcess::StepOf(const AskPeer& action) const {
+Step EntryProcess::StepOf(const QueryPeer& action) const {
   const bool result = !action.cancel && !action.stop_orphans &&
                       this->around->promises->Accepted(action.request);
   return result ? Step::kAskResult : Step::kAskPeer;
@@ -21,7 +21,7 @@
          this->core->ConfigurationInForce().version > 0;
 }
 
-void EntryProcess::Do(const AskPeer& action) {
+void EntryProcess::Do(const QueryPeer& action) {
   const auto found = this->around->processes.find(action.peer);
   if (found == this->around->processes.end()) {
     this->Deliver(QueryAnswered{action.query, std::nullopt});
--- a/testing/fault_matrix/src/entry_platform_calls.cc
+++ b/testing/fault_matrix/src/entry_platform_calls.cc
@@ -199,11 +199,11 @@
       });
 }
 
-void EntryProcess::Do(const SettleKey& action) {
+void EntryProcess::Do(const ResolveKeyClaim& action) {
   this->SettleWithRetries(action, kSettleTries);
 }
 
-void EntryProcess::SettleWithRetries(const SettleKey& action,
+void EntryProcess::SettleWithRetries(const ResolveKeyClaim& action,
                                      std::int32_t tries) {
   this->CallPlatform(
       Step::kSettleKey,
--- a/testing/fault_matrix/src/entry_process.h
+++ b/testing/fault_matrix/src/entry_process.h
@@ -74,7 +74,7 @@
   void Do(const Reply& action);
   void Do(const ReplyAccepted& action);
   void Do(const AnswerQuery& action);
-  void Do(const AskPeer& action);
+  void Do(const QueryPeer& action);
   void Do(const ForwardRequest& action);
   void Do(const ForwardCancel& action);
   void Do(const AttachWorker& action);
@@ -93,7 +93,7 @@
   /// Schedules are far shorter than the time that claims are kept.
   void Do(const SweepClaims& /*action*/) {}
   void Do(const ClaimKey& action);
-  void Do(const SettleKey& action);
+  void Do(const ResolveKeyClaim& action);
   void Do(const RecordEvent& action);
   void Do(const RecordSample& /*action*/) {}
   void Do(const ShutdownFinished& action);
@@ -103,14 +103,14 @@
                   std::function<Event(ModelWorker*)> work, Event lost);
   /// Reaches the step "runs" some time in the run of a task that has started.
   void WatchRun(const StartTask& action, ModelWorker* worker, Duration run);
-  [[nodiscard]] Step StepOf(const AskPeer& action) const;
+  [[nodiscard]] Step StepOf(const QueryPeer& action) const;
   [[nodiscard]] bool Configured() const;
   void CallPlatform(Step step, std::function<void(Respond)> work,
                     std::function<void()> lost);
   void ReadBack(const JournalBatch& batch);
   void NotePlatform(bool reachable);
   void Probe();
-  void SettleWithRetries(const SettleKey& action, std::int32_t tries);
+  void SettleWithRetries(const ResolveKeyClaim& action, std::int32_t tries);
 
   Surroundings* around;
   CoreOptions options;
--- a/testing/fault_matrix/src/model_platform.cc
+++ b/testing/fault_matrix/src/model_platform.cc
@@ -101,7 +101,7 @@
       .first->second;
 }
 
-void ModelPlatform::Settle(const SettleKey& call) {
+void ModelPlatform::Settle(const ResolveKeyClaim& call) {
   const auto found = this->claims.find(KeyName{call.team, call.key});
   if (found == this->claims.end() || found->second.request != call.request) {
     return;
--- a/testing/fault_matrix/src/model_platform.h
+++ b/testing/fault_matrix/src/model_platform.h
@@ -44,7 +44,7 @@
   /// Creates the claim if its key is absent.
   /// @return the claim that stands there
   KeyClaim Claim(const ClaimKey& call);
-  void Settle(const SettleKey& call);
+  void Settle(const ResolveKeyClaim& call);
 
   Configuration configuration;
   std::vector<WorkerDescription> hosts;
