--- a/packages/core/src/forwarding.cc
+++ b/packages/core/src/forwarding.cc
@@ -5,39 +5,41 @@
 
 namespace mustardproxy {
 
+using detail::ForwardReservation;
 using detail::Peer;
-using detail::Promise;
 
 namespace detail {
 namespace {
 
 /// A digest made less than this after a promise may not show it yet: the
 /// request is on its way, or the answer crossed it.
-constexpr Duration kPromiseFlight = std::chrono::milliseconds(100);
+constexpr Duration kForwardTransitTime = std::chrono::milliseconds(100);
 /// Promises made within this time of each other are kept as one.
-constexpr Duration kPromiseMerge = std::chrono::milliseconds(20);
+constexpr Duration kReservationMergeWindow = std::chrono::milliseconds(20);
 
 }  // namespace
 
-void DropSeenPromises(Instant now, bool all, std::vector<Promise>* promises) {
-  if (all) promises->clear();
-  std::erase_if(*promises, [now](const Promise& promise) {
-    return now - promise.made >= kPromiseFlight;
+void DropSeenReservations(Instant now, bool all,
+                          std::vector<ForwardReservation>* reservations) {
+  if (all) reservations->clear();
+  std::erase_if(*reservations, [now](const ForwardReservation& reservation) {
+    return now - reservation.made >= kForwardTransitTime;
   });
 }
 
 namespace {
 
-void AddPromise(Instant now, const Resources& room,
-                std::vector<Promise>* promises) {
-  if (!promises->empty() && now - promises->back().made < kPromiseMerge) {
-    promises->back().room += room;
+void AddReservation(Instant now, const Resources& room,
+                    std::vector<ForwardReservation>* reservations) {
+  if (!reservations->empty() &&
+      now - reservations->back().made < kReservationMergeWindow) {
+    reservations->back().room += room;
     return;
   }
-  promises->push_back({now, room});
+  reservations->push_back({now, room});
 }
 
-Resources Divided(const Resources& room, std::int64_t parts) {
+Resources DividedBy(const Resources& room, std::int64_t parts) {
   return {room.cpu_milli / parts, room.memory_mb / parts,
           room.accelerators / parts, room.slots / parts};
 }
@@ -45,8 +47,8 @@
 /// Whether this process may send the one task of a part that is smaller than a
 /// task. Drawn anew with each digest, so that over all competitors about as
 /// many are sent as there are slots.
-bool DrawsSmallPart(const ProcessId& self, const Peer& peer,
-                    std::int64_t competitors) {
+bool DrawsFractionalShare(const ProcessId& self, const Peer& peer,
+                          std::int64_t competitors) {
   const std::uint64_t draw =
       MixBits(RendezvousWeight(self.Text(), peer.description.process.Text()) +
               peer.digests) %
@@ -55,12 +57,14 @@
 }
 
 /// Room of a peer that this process may still fill.
-Resources RoomLeft(const ProcessId& self, const Peer& peer,
-                   const Resources& needs, std::int64_t competitors) {
-  Resources room = Divided(peer.digest->free, competitors);
+Resources RemainingRoom(const ProcessId& self, const Peer& peer,
+                        const Resources& needs, std::int64_t competitors) {
+  Resources room = DividedBy(peer.digest->free, competitors);
   const bool too_small = !needs.FitsIn(room) && needs.FitsIn(peer.digest->free);
-  if (too_small && DrawsSmallPart(self, peer, competitors)) room = needs;
-  for (const Promise& promise : peer.promises) room -= promise.room;
+  if (too_small && DrawsFractionalShare(self, peer, competitors)) room = needs;
+  for (const ForwardReservation& reservation : peer.reservations) {
+    room -= reservation.room;
+  }
   return room;
 }
 
@@ -103,15 +107,15 @@
     if (!peer.alive || peer.digest->stopping) continue;
     if (std::ranges::find(avoid, id) != avoid.end()) continue;
     if (!needs.FitsIn(peer.digest->largest_free)) continue;
-    const Resources room = detail::RoomLeft(all.self.process, peer, needs,
-                                            peer.local ? competitors : 1);
+    const Resources room = detail::RemainingRoom(all.self.process, peer, needs,
+                                                 peer.local ? competitors : 1);
     if (!needs.FitsIn(room)) continue;
     (peer.local ? local : remote).push_back({&peer, room});
   }
   const std::vector<detail::Candidate>& near = local.empty() ? remote : local;
   if (near.empty()) return std::nullopt;
   Peer& chosen = *detail::BetterOfTwo(near, random).peer;
-  detail::AddPromise(now, needs, &chosen.promises);
+  detail::AddReservation(now, needs, &chosen.reservations);
   return chosen.description.process;
 }
 
--- a/packages/core/src/membership.cc
+++ b/packages/core/src/membership.cc
@@ -18,13 +18,13 @@
 /// many in all, so that strangers can not fill the memory.
 constexpr std::size_t kMaxPeers = 256;
 /// A starting process waits this long for members that do not answer.
-constexpr Duration kSettleTime = std::chrono::seconds(1);
+constexpr Duration kDiscoveryTimeout = std::chrono::seconds(1);
 /// The local interval stretches no further: 8 members fit their budget with
 /// it, more members take more bytes, and a dead one is still found in time.
 constexpr Duration kMaxLocalInterval = std::chrono::milliseconds(2500);
 constexpr Duration kMaxRemoteInterval = std::chrono::seconds(10);
 /// Heartbeats to a gone peer, in the intervals of a live one.
-constexpr std::int32_t kGoneFactor = 4;
+constexpr std::int32_t kLostPeerIntervalFactor = 4;
 
 }  // namespace
 
@@ -42,19 +42,19 @@
   const Duration paced_local = detail::PacedInterval(
       limits.heartbeat_interval, local, detail::kHeartbeatBytes,
       limits.local_bytes_per_second);
-  this->quiet_local = std::min(
+  this->idle_local_interval = std::min(
       paced_local, std::max(kMaxLocalInterval, limits.heartbeat_interval));
   const Duration paced_remote = detail::PacedInterval(
       limits.remote_heartbeat_interval,
       static_cast<std::int64_t>(data_centers.size()), detail::kHeartbeatBytes,
       limits.remote_bytes_per_second);
-  this->quiet_remote =
+  this->idle_remote_interval =
       std::min(paced_remote,
                std::max(kMaxRemoteInterval, limits.remote_heartbeat_interval));
 }
 
-Duration Membership::State::QuietInterval(bool local) const {
-  return local ? this->quiet_local : this->quiet_remote;
+Duration Membership::State::IdleInterval(bool local) const {
+  return local ? this->idle_local_interval : this->idle_remote_interval;
 }
 
 Duration Membership::State::RetryInterval(bool local) const {
@@ -63,37 +63,38 @@
 }
 
 Duration Membership::State::Interval(const Peer& peer) const {
-  if (!peer.local) return this->QuietInterval(false);
+  if (!peer.local) return this->IdleInterval(false);
   // While requests wait, digests must be fresh for forwarding; their bytes are
   // then few beside the traffic.
-  const bool pressed =
+  const bool queueing =
       this->own.queued > 0 || (peer.digest && peer.digest->queued > 0);
-  return pressed ? this->options.heartbeat_interval : this->QuietInterval(true);
+  return queueing ? this->options.heartbeat_interval : this->IdleInterval(true);
 }
 
 Duration Membership::State::SilenceLimit(const Peer& peer) const {
   // The first missed heartbeat comes a whole interval after the last one; the
   // ones that follow an unanswered one go out at the short interval.
   const Duration retry = this->RetryInterval(peer.local);
-  return this->QuietInterval(peer.local) +
+  return this->IdleInterval(peer.local) +
          retry * (this->options.missed_heartbeats - 1);
 }
 
-Instant Membership::State::SendDue(const Peer& peer) const {
+Instant Membership::State::NextHeartbeatDue(const Peer& peer) const {
   const Duration retry = this->RetryInterval(peer.local);
   const bool never_tried = !peer.digest && peer.unanswered == 0;
   if (never_tried) return Instant();
   if (!peer.alive) {
     const bool given_up =
         peer.digest || peer.unanswered > this->options.missed_heartbeats;
-    return peer.sent + (given_up ? this->Interval(peer) * kGoneFactor : retry);
+    return peer.sent +
+           (given_up ? this->Interval(peer) * kLostPeerIntervalFactor : retry);
   }
   // Calls that fail at once, as after a crash, are repeated faster, so that the
   // workers of a crashed process are taken over sooner.
   if (peer.unreachable > 0) return peer.sent + retry / 2;
   if (peer.unanswered > 0) return peer.sent + retry;
   const Instant exchanged = std::max(peer.sent, peer.heard);
-  if (this->news_since > exchanged) return exchanged + retry / 4;
+  if (this->urgent_change_since > exchanged) return exchanged + retry / 4;
   // An exchange shows each side the other's digest, so one per pair is enough:
   // the side with the lower name begins, the other one only when it does not.
   const bool begins = this->self.process < peer.description.process;
@@ -155,7 +156,7 @@
       });
 }
 
-void Membership::State::ForgiveOwnPause(Instant now) {
+void Membership::State::CompensateOwnPause(Instant now) {
   // Failure: this process was stopped for a while. At its return all peers seem
   // to have been silent, and it would take over the whole data centre. It shows
   // as a wake-up that comes late; then each peer gets the time of two more
@@ -172,20 +173,20 @@
   }
 }
 
-bool Membership::State::NoteNews(Instant now, const Digest& own) {
+bool Membership::State::RecordDigestChange(Instant now, const Digest& own) {
   const Digest& former = this->own;
   const bool urgent =
       former.configuration_version != own.configuration_version ||
       former.stopping != own.stopping ||
       former.platform_reachable != own.platform_reachable ||
       former.journals != own.journals;
-  const bool pressed = (former.queued > 0) != (own.queued > 0);
-  if (urgent) this->news_since = now;
-  return urgent || pressed;
+  const bool queueing = (former.queued > 0) != (own.queued > 0);
+  if (urgent) this->urgent_change_since = now;
+  return urgent || queueing;
 }
 
-void Membership::State::DropSilent(Instant now) {
-  this->ForgiveOwnPause(now);
+void Membership::State::ExpireSilentPeers(Instant now) {
+  this->CompensateOwnPause(now);
   bool changed = false;
   for (auto& [id, peer] : this->peers) {
     if (!peer.alive) continue;
@@ -195,7 +196,7 @@
     // A process of another data centre that no longer talks to us has perhaps
     // only chosen another link; no loss is reported then.
     peer.lost = peer.local || peer.unanswered > 0;
-    peer.promises.clear();
+    peer.reservations.clear();
     changed = true;
   }
   if (changed) this->RebuildLocalMembers();
@@ -237,20 +238,20 @@
   State& all = *this->state;
   const bool first = !all.started;
   if (first) all.started = now;
-  const bool changed = all.NoteNews(now, own);
+  const bool changed = all.RecordDigestChange(now, own);
   if (!first && !changed && now < all.next_wakeup) return;
-  all.DropSilent(now);
+  all.ExpireSilentPeers(now);
   const bool was_stopping = all.own.stopping;
   all.own = own;
   if (was_stopping != own.stopping) all.RebuildLocalMembers();
   all.next_wakeup = now + all.options.heartbeat_interval;
   for (Peer* peer : all.LinkedPeers()) {
-    if (all.SendDue(*peer) <= now) {
+    if (all.NextHeartbeatDue(*peer) <= now) {
       actions->push_back(SendDigest{peer->description.process, own});
       peer->sent = now;
       ++peer->unanswered;
     }
-    all.next_wakeup = std::min(all.next_wakeup, all.SendDue(*peer));
+    all.next_wakeup = std::min(all.next_wakeup, all.NextHeartbeatDue(*peer));
   }
 }
 
@@ -265,7 +266,8 @@
       peer->digest && peer->digest->incarnation != digest.incarnation;
   if (restarted) peer->former_incarnation = peer->digest->incarnation;
   const bool joined = !peer->alive || restarted;
-  const bool moved = joined || peer->digest->stopping != digest.stopping;
+  const bool members_changed =
+      joined || peer->digest->stopping != digest.stopping;
   peer->alive = true;
   if (joined) peer->lost = false;
   peer->heard = now;
@@ -273,8 +275,8 @@
   peer->unanswered = 0;
   peer->unreachable = 0;
   peer->digest = digest;
-  detail::DropSeenPromises(now, restarted, &peer->promises);
-  if (moved) all.RebuildLocalMembers();
+  detail::DropSeenReservations(now, restarted, &peer->reservations);
+  if (members_changed) all.RebuildLocalMembers();
   return joined;
 }
 
@@ -283,12 +285,13 @@
   const auto found = all.peers.find(peer);
   if (found == all.peers.end() || found->second.unanswered == 0) return;
   ++found->second.unreachable;
-  all.DropSilent(now);
-  all.next_wakeup = std::min(all.next_wakeup, all.SendDue(found->second));
+  all.ExpireSilentPeers(now);
+  all.next_wakeup =
+      std::min(all.next_wakeup, all.NextHeartbeatDue(found->second));
 }
 
 std::vector<ProcessId> Membership::TakeLostPeers(Instant now) {
-  this->state->DropSilent(now);
+  this->state->ExpireSilentPeers(now);
   std::vector<ProcessId> lost;
   for (auto& [id, peer] : this->state->peers) {
     if (peer.lost) lost.push_back(id);
@@ -302,7 +305,8 @@
 std::uint64_t Membership::Generation() const { return this->state->generation; }
 
 bool Membership::DiscoveryComplete(Instant now) const {
-  if (this->state->started && now - *this->state->started >= kSettleTime) {
+  if (this->state->started &&
+      now - *this->state->started >= kDiscoveryTimeout) {
     return true;
   }
   return std::ranges::all_of(this->state->peers, [](const auto& entry) {
@@ -332,9 +336,9 @@
     if (member == all.self.process) return all.own.platform_reachable;
     return all.Find(member)->digest->platform_reachable;
   };
-  const auto keeper = std::ranges::find_if(all.local_members, reaches);
+  const auto watcher = std::ranges::find_if(all.local_members, reaches);
   const ProcessId& chosen =
-      keeper == all.local_members.end() ? all.local_members.front() : *keeper;
+      watcher == all.local_members.end() ? all.local_members.front() : *watcher;
   return chosen == all.self.process;
 }
 
--- a/packages/core/src/membership_state.h
+++ b/packages/core/src/membership_state.h
@@ -12,7 +12,7 @@
 namespace mustardproxy::detail {
 
 /// Room that was promised to a peer and that its digest can not show yet.
-struct Promise {
+struct ForwardReservation {
   Instant made;
   Resources room;
 };
@@ -37,12 +37,13 @@
   std::int32_t unanswered = 0;
   /// Of these, reported as unreachable.
   std::int32_t unreachable = 0;
-  std::vector<Promise> promises;
+  std::vector<ForwardReservation> reservations;
 };
 
 /// Drops promises that a digest which arrives at `now` shows already, or all of
 /// them if the peer has restarted.
-void DropSeenPromises(Instant now, bool all, std::vector<Promise>* promises);
+void DropSeenReservations(Instant now, bool all,
+                          std::vector<ForwardReservation>* reservations);
 
 }  // namespace mustardproxy::detail
 
@@ -56,10 +57,10 @@
   Digest own;
   /// When something in `own` changed that peers must learn soon; the rest of a
   /// digest may wait for the next heartbeat.
-  Instant news_since;
+  Instant urgent_change_since;
   /// Intervals of heartbeats while nothing is queued.
-  Duration quiet_local{0};
-  Duration quiet_remote{0};
+  Duration idle_local_interval{0};
+  Duration idle_remote_interval{0};
   std::optional<Instant> started;
   Instant next_wakeup;
   std::uint64_t generation = 1;
@@ -67,13 +68,13 @@
 
   /// Interval of heartbeats to a live peer of that kind at present.
   [[nodiscard]] Duration Interval(const detail::Peer& peer) const;
-  [[nodiscard]] Duration QuietInterval(bool local) const;
+  [[nodiscard]] Duration IdleInterval(bool local) const;
   /// Interval at which an unanswered heartbeat is repeated.
   [[nodiscard]] Duration RetryInterval(bool local) const;
   /// Silence after which the peer counts as gone.
   [[nodiscard]] Duration SilenceLimit(const detail::Peer& peer) const;
   /// When the next heartbeat to the peer is due.
-  [[nodiscard]] Instant SendDue(const detail::Peer& peer) const;
+  [[nodiscard]] Instant NextHeartbeatDue(const detail::Peer& peer) const;
   /// Heartbeats go to all peers of the own data centre and to the chosen one of
   /// each other.
   [[nodiscard]] std::vector<detail::Peer*> LinkedPeers();
@@ -87,10 +88,10 @@
   /// Local members that may forward at present, this one included.
   [[nodiscard]] std::int64_t CompetitorCount() const;
   /// Time this process was not running is not held against its peers.
-  void ForgiveOwnPause(Instant now);
+  void CompensateOwnPause(Instant now);
   /// @return true if heartbeats may be due earlier because of the change
-  bool NoteNews(Instant now, const Digest& own);
-  void DropSilent(Instant now);
+  bool RecordDigestChange(Instant now, const Digest& own);
+  void ExpireSilentPeers(Instant now);
   void RebuildLocalMembers();
 };
 
