--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -10,23 +10,23 @@
 
 using detail::Lease;
 using detail::LeasePhase;
-using detail::OrphanWatch;
+using detail::OrphanDetector;
 
 namespace {
 
 /// First and longest pause before a stand-in offers its worker.
-constexpr Duration kFirstOffer = std::chrono::minutes(2);
-constexpr Duration kLongestOffer = std::chrono::minutes(10);
+constexpr Duration kFirstHandBackDelay = std::chrono::minutes(2);
+constexpr Duration kMaxHandBackDelay = std::chrono::minutes(10);
 /// Renewals of an idle worker are never further apart.
-constexpr Duration kMaxInterval = std::chrono::minutes(5);
+constexpr Duration kMaxRenewalInterval = std::chrono::minutes(5);
 /// Failures in a row after which no start is sent.
-constexpr std::int32_t kUnreachableToSuspend = 2;
+constexpr std::int32_t kUnreachableCallsToSuspend = 2;
 /// Doublings after which a pause has surely reached its limit.
 constexpr std::int32_t kMaxDoublings = 16;
 /// Time until a starting process asks again whether its members have settled.
-constexpr Duration kSettleCheck = std::chrono::milliseconds(100);
+constexpr Duration kDiscoveryCheckInterval = std::chrono::milliseconds(100);
 /// A call that was reported unreachable may still be answered for so long.
-constexpr Duration kLateAnswer = std::chrono::seconds(5);
+constexpr Duration kLateAnswerWindow = std::chrono::seconds(5);
 /// Longest time for which a refused attach is put off; as long as the usual
 /// lease, so that it adds no calls there.
 constexpr Duration kEarlyReleaseInterval = std::chrono::seconds(3);
@@ -50,7 +50,7 @@
   return Duration(static_cast<std::int64_t>(drawn % range));
 }
 
-Duration Ownership::State::BackOff(std::int32_t times, Duration most) {
+Duration Ownership::State::RetryDelay(std::int32_t times, Duration most) {
   Duration pause = this->options.retry_interval;
   const std::int32_t doublings = std::clamp(times, 0, kMaxDoublings);
   for (std::int32_t i = 0; i < doublings && pause < most; ++i) pause *= 2;
@@ -69,23 +69,25 @@
   lease->phase = phase;
 }
 
-Instant Ownership::State::TakeSent(Instant now, Lease* lease) {
+Instant Ownership::State::CompleteCall(Instant now, Lease* lease) {
   // Failure: a call is reported unreachable, the next one is sent, and then the
   // first one's answer arrives. Taken for the answer to the second call, it
   // would make the lease look longer than it is. Answers do not say which call
   // they belong to, so each is taken for the oldest that may still be answered.
   Instant sent = lease->sent;
-  const bool doubt = lease->doubted && now - *lease->doubted < kLateAnswer;
-  if (doubt) sent = std::min(sent, *lease->doubted);
-  const bool other_open = doubt && lease->in_flight;
-  lease->doubted.reset();
-  if (other_open) lease->doubted = lease->sent;
+  const bool has_unresolved =
+      lease->oldest_unresolved &&
+      now - *lease->oldest_unresolved < kLateAnswerWindow;
+  if (has_unresolved) sent = std::min(sent, *lease->oldest_unresolved);
+  const bool other_open = has_unresolved && lease->in_flight;
+  lease->oldest_unresolved.reset();
+  if (other_open) lease->oldest_unresolved = lease->sent;
   lease->in_flight = false;
   return sent;
 }
 
-void Ownership::State::TakeReport(Instant sent, const WorkerReport& report,
-                                  Lease* lease) {
+void Ownership::State::ApplyReport(Instant sent, const WorkerReport& report,
+                                   Lease* lease) {
   // Failure: a busy worker's reports name what runs and never what ended, since
   // those answers came with their starts. The interval would grow as for long
   // tasks, and the end of a short detached one be learnt seconds late.
@@ -102,26 +104,26 @@
       std::ranges::any_of(report.running, [this](const RunningTask& task) {
         return task.running_for >= this->options.renew_interval;
       });
-  const bool news =
+  const bool new_activity =
       started || !report.ended.empty() || (lease->active && !was_active);
   // Growing slowly keeps the delay of a task's end in proportion to its run.
   lease->interval =
-      news ? this->options.renew_interval : lease->interval * 3 / 2;
-  lease->interval =
-      std::clamp(lease->interval, this->options.renew_interval, kMaxInterval);
+      new_activity ? this->options.renew_interval : lease->interval * 3 / 2;
+  lease->interval = std::clamp(lease->interval, this->options.renew_interval,
+                               kMaxRenewalInterval);
 }
 
-void Ownership::State::Lose(Instant now, Lease* lease) {
-  lease->not_before = std::max(lease->not_before, now);
+void Ownership::State::MarkLost(Instant now, Lease* lease) {
+  lease->attach_not_before = std::max(lease->attach_not_before, now);
   lease->active = false;
   this->SetPhase(lease, LeasePhase::kNone);
 }
 
-void Ownership::State::NoteActivity(Instant now, Lease* lease) {
+void Ownership::State::MarkActive(Instant now, Lease* lease) {
   if (lease->phase != LeasePhase::kOwned || lease->active) return;
   lease->active = true;
   lease->interval = this->options.renew_interval;
-  this->Plan(now, *lease);
+  this->ScheduleNext(now, *lease);
 }
 
 Ownership::Ownership(OwnershipOptions options, std::uint64_t seed)
@@ -150,7 +152,7 @@
       known = &all.leases.emplace_back();
     }
     known->description = worker;
-    all.replan = true;
+    all.reschedule = true;
   }
   return leaving;
 }
@@ -159,17 +161,18 @@
                      Actions* actions) {
   State& all = *this->state;
   all.self = membership.Self();
-  all.settled = all.settled || membership.DiscoveryComplete(now);
-  if (!all.settled) {
-    all.next_check = now + kSettleCheck;
+  all.discovery_complete =
+      all.discovery_complete || membership.DiscoveryComplete(now);
+  if (!all.discovery_complete) {
+    all.next_check = now + kDiscoveryCheckInterval;
     return;
   }
-  if (all.replan || all.generation != membership.Generation()) {
-    all.Replan(now, membership);
+  if (all.reschedule || all.generation != membership.Generation()) {
+    all.RescheduleAll(now, membership);
   }
   if (now >= all.next_check) all.CheckOrphans(now, membership);
   while (const std::optional<std::size_t> due = all.timers.TakeDue(now)) {
-    all.Act(now, &all.leases[*due], actions);
+    all.RunDueAction(now, &all.leases[*due], actions);
   }
 }
 
@@ -178,7 +181,7 @@
   all.stopped = true;
   for (Lease& lease : all.leases) {
     if (lease.phase == LeasePhase::kOwned) all.Release(now, &lease, actions);
-    all.Plan(now, lease);
+    all.ScheduleNext(now, lease);
   }
 }
 
@@ -192,18 +195,18 @@
   // An answer that comes after its call was given up on is dropped; the next
   // attach repeats the epoch and is accepted again.
   if (lease->phase != LeasePhase::kAttaching) return false;
-  const Instant sent = all.TakeSent(now, lease);
+  const Instant sent = all.CompleteCall(now, lease);
   all.SetPhase(lease, LeasePhase::kOwned);
   lease->highest = lease->epoch;
   lease->sent = sent;
-  all.TakeReport(sent, report, lease);
+  all.ApplyReport(sent, report, lease);
   lease->interval = all.options.renew_interval;
-  if (lease->stand_in) {
-    lease->offer_pause =
-        std::clamp(lease->offer_pause * 2, kFirstOffer, kLongestOffer);
-    lease->offer_at = now + lease->offer_pause;
+  if (lease->substitute) {
+    lease->hand_back_delay = std::clamp(lease->hand_back_delay * 2,
+                                        kFirstHandBackDelay, kMaxHandBackDelay);
+    lease->hand_back_at = now + lease->hand_back_delay;
   }
-  all.Plan(now, *lease);
+  all.ScheduleNext(now, *lease);
   return !all.stopped;
 }
 
@@ -212,9 +215,9 @@
   Lease* lease = all.Find(report.worker);
   if (lease == nullptr || report.epoch != lease->epoch) return;
   if (lease->phase != LeasePhase::kOwned) return;
-  const Instant sent = all.TakeSent(now, lease);
-  all.TakeReport(sent, report, lease);
-  all.Plan(now, *lease);
+  const Instant sent = all.CompleteCall(now, lease);
+  all.ApplyReport(sent, report, lease);
+  all.ScheduleNext(now, *lease);
 }
 
 bool Ownership::OnRefused(Instant now, const WorkerRefused& refused) {
@@ -239,22 +242,22 @@
   // once; after that two processes may be racing for the worker.
   const bool free = refused.lease_left <= Duration(0);
   const bool first = lease->refusals++ == 0;
-  const Duration pause = all.BackOff(lease->refusals - 1, all.options.lease);
+  const Duration pause = all.RetryDelay(lease->refusals - 1, all.options.lease);
   // Failure: a process in a graceful stop releases its workers long before the
   // lease runs out, and its successor, refused once before that, would leave
   // them idle for the rest of the lease. So a long lease is asked about again.
   const Duration wait = std::min(refused.lease_left, kEarlyReleaseInterval);
-  lease->not_before = now + wait + (free && first ? Duration(0) : pause);
+  lease->attach_not_before = now + wait + (free && first ? Duration(0) : pause);
   // A worker that has an owner after all is left alone.
   if (!free && !all.Preferred(*lease)) {
-    lease->not_before = now + OrphanWatch::kWindow;
+    lease->attach_not_before = now + OrphanDetector::kAttachWindow;
   }
   if (had) {
-    all.Lose(now, lease);
+    all.MarkLost(now, lease);
   } else {
     all.SetPhase(lease, LeasePhase::kNone);
   }
-  all.Plan(now, *lease);
+  all.ScheduleNext(now, *lease);
   return had;
 }
 
@@ -262,27 +265,29 @@
   State& all = *this->state;
   Lease* lease = all.Find(worker);
   if (lease == nullptr || lease->phase == LeasePhase::kNone) return false;
-  if (lease->in_flight && !lease->doubted) lease->doubted = lease->sent;
+  if (lease->in_flight && !lease->oldest_unresolved) {
+    lease->oldest_unresolved = lease->sent;
+  }
   if (lease->unreachable == 0) {
-    lease->silent_since = lease->in_flight ? lease->sent : now;
+    lease->unreachable_since = lease->in_flight ? lease->sent : now;
   }
   lease->in_flight = false;
   ++lease->unreachable;
   const Duration most = all.options.max_unreachable_interval;
-  const Duration pause = all.BackOff(lease->unreachable - 1, most);
-  lease->not_before = std::max(lease->not_before, now + pause);
+  const Duration pause = all.RetryDelay(lease->unreachable - 1, most);
+  lease->attach_not_before = std::max(lease->attach_not_before, now + pause);
   // Nothing that reached the worker before the silence can have kept its lease
   // in force for longer than this. One lost call is no loss: starts renew the
   // lease too, and an idle one may have lapsed long ago without harm.
-  const bool lapsed = now >= lease->silent_since + all.options.lease;
+  const bool lapsed = now >= lease->unreachable_since + all.options.lease;
   const bool releasing = lease->phase == LeasePhase::kReleasing;
   const bool lost = releasing || (lease->phase == LeasePhase::kOwned && lapsed);
   if (lost) {
-    all.Lose(now, lease);
+    all.MarkLost(now, lease);
   } else if (lease->phase == LeasePhase::kAttaching) {
     all.SetPhase(lease, LeasePhase::kNone);
   }
-  all.Plan(now, *lease);
+  all.ScheduleNext(now, *lease);
   return lost;
 }
 
@@ -291,32 +296,32 @@
   Lease* lease = all.Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kReleasing) return;
   lease->in_flight = false;
-  all.Lose(now, lease);
-  all.Plan(now, *lease);
+  all.MarkLost(now, lease);
+  all.ScheduleNext(now, *lease);
 }
 
 void Ownership::OnStartSent(Instant now, const WorkerId& worker) {
-  this->state->starts_told = true;
+  this->state->starts_reported = true;
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr) return;
   lease->start_sent = now;
-  this->state->NoteActivity(now, lease);
+  this->state->MarkActive(now, lease);
 }
 
 void Ownership::OnStartRefused(Instant now, const WorkerId& worker) {
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kOwned) return;
   lease->interval = Duration(0);
-  this->state->Plan(now, *lease);
+  this->state->ScheduleNext(now, *lease);
 }
 
 void Ownership::OnStartAnswered(Instant now, const WorkerId& worker) {
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr) return;
-  lease->traffic = now;
+  lease->start_answered = now;
   // The timer is not set back here, as this is the path of each answer; when it
   // runs out, the renewal is found not due yet.
-  this->state->NoteActivity(now, lease);
+  this->state->MarkActive(now, lease);
 }
 
 std::optional<OwnedWorker> Ownership::HeldLease(const WorkerId& worker) const {
@@ -331,7 +336,7 @@
     Instant now, const WorkerId& worker) const {
   const Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->description.leaving) return std::nullopt;
-  if (lease->unreachable >= kUnreachableToSuspend) return std::nullopt;
+  if (lease->unreachable >= kUnreachableCallsToSuspend) return std::nullopt;
   // Failure: this process was stopped past the end of its lease, and another
   // one has attached since. The worker refuses the old epoch. Where it does
   // not, the lease counts from before its request was sent, so it ends here
@@ -359,7 +364,9 @@
 }
 
 Instant Ownership::NextWakeup() const {
-  if (this->state->replan && this->state->settled) return Instant();
+  if (this->state->reschedule && this->state->discovery_complete) {
+    return Instant();
+  }
   return std::min(this->state->timers.Next(), this->state->next_check);
 }
 
--- a/packages/core/src/ownership_plan.cc
+++ b/packages/core/src/ownership_plan.cc
@@ -9,7 +9,7 @@
 
 using detail::Lease;
 using detail::LeasePhase;
-using detail::OrphanWatch;
+using detail::OrphanDetector;
 using detail::OwnerCount;
 using detail::RackPreference;
 
@@ -17,18 +17,18 @@
 
 /// A call that has had no result for so long is taken for lost, so that one
 /// report that never comes can not block a worker for good.
-constexpr Duration kCallLimit = std::chrono::seconds(5);
+constexpr Duration kMaxCallTime = std::chrono::seconds(5);
 /// Starts that were on their way when a worker began to leave show in reports
 /// after this time.
 constexpr Duration kDrainGrace = std::chrono::seconds(2);
 /// Between the tries of two members for the same ownerless worker.
-constexpr Duration kRankPause = std::chrono::seconds(3);
-constexpr Duration kCheckInterval = std::chrono::seconds(1);
+constexpr Duration kAttachStagger = std::chrono::seconds(3);
+constexpr Duration kOrphanCheckInterval = std::chrono::seconds(1);
 /// Changes of the members are seen within this time also by a caller that ticks
 /// only at wake-ups.
-constexpr Duration kMembersInterval = std::chrono::milliseconds(250);
+constexpr Duration kMemberCheckInterval = std::chrono::milliseconds(250);
 /// Shortest interval to which renewals of an idle worker stretch.
-constexpr Duration kIdleInterval = std::chrono::seconds(10);
+constexpr Duration kMinIdleRenewalInterval = std::chrono::seconds(10);
 
 bool Unreachable(const Lease& lease) { return lease.unreachable >= 2; }
 
@@ -39,7 +39,8 @@
   return rack != this->racks.end() && rack->second.owner == this->self;
 }
 
-void Ownership::State::RefreshRacks(Instant now, const Membership& membership) {
+void Ownership::State::UpdateRackPreferences(Instant now,
+                                             const Membership& membership) {
   this->members = membership.LocalMembers();
   for (auto& [id, rack] : this->racks) rack.workers = 0;
   for (const Lease& lease : this->leases) {
@@ -57,17 +58,18 @@
   for (Lease& lease : this->leases) {
     if (!moved.contains(lease.description.rack)) continue;
     // What was learnt of the former preferred owner does not hold for this one.
-    lease.stand_in = false;
-    lease.offer_pause = Duration(0);
-    lease.not_before = std::min(lease.not_before, now);
+    lease.substitute = false;
+    lease.hand_back_delay = Duration(0);
+    lease.attach_not_before = std::min(lease.attach_not_before, now);
   }
 }
 
-void Ownership::State::Replan(Instant now, const Membership& membership) {
+void Ownership::State::RescheduleAll(Instant now,
+                                     const Membership& membership) {
   const bool members_changed = this->generation != membership.Generation();
   this->generation = membership.Generation();
-  this->replan = false;
-  this->RefreshRacks(now, membership);
+  this->reschedule = false;
+  this->UpdateRackPreferences(now, membership);
   for (Lease& lease : this->leases) {
     if (members_changed) lease.contested = false;
     if (!lease.description.leaving) {
@@ -76,7 +78,7 @@
     } else if (!lease.leaving_since) {
       lease.leaving_since = now;
     }
-    this->Plan(now, lease);
+    this->ScheduleNext(now, lease);
   }
 }
 
@@ -96,24 +98,24 @@
 }
 
 void Ownership::State::CheckOrphans(Instant now, const Membership& membership) {
-  this->next_check = now + kMembersInterval;
-  if (now < this->orphans_checked + kCheckInterval) return;
+  this->next_check = now + kMemberCheckInterval;
+  if (now < this->orphans_checked + kOrphanCheckInterval) return;
   this->orphans_checked = now;
-  this->WatchUnreachable(now);
+  this->UpdateUnreachable(now);
   const std::vector<OwnerCount> counts = this->CountOwners(membership);
-  std::int32_t missing = -static_cast<std::int32_t>(this->owned);
-  for (const auto& [id, rack] : this->racks) missing += rack.workers;
-  for (const OwnerCount& count : counts) missing -= count.owned;
-  this->orphans.Update(now, missing, counts);
-  if (!this->orphans.Any()) return;
+  std::int32_t unowned = -static_cast<std::int32_t>(this->owned);
+  for (const auto& [id, rack] : this->racks) unowned += rack.workers;
+  for (const OwnerCount& count : counts) unowned -= count.owned;
+  this->orphan_detector.Update(now, unowned, counts);
+  if (!this->orphan_detector.AnyShortage()) return;
   for (const Lease& lease : this->leases) {
     const bool candidate =
         lease.phase == LeasePhase::kNone && !this->Preferred(lease);
-    if (candidate) this->Plan(now, lease);
+    if (candidate) this->ScheduleNext(now, lease);
   }
 }
 
-void Ownership::State::WatchUnreachable(Instant now) {
+void Ownership::State::UpdateUnreachable(Instant now) {
   const auto lost =
       std::ranges::count_if(this->leases, [this](const Lease& lease) {
         return this->Preferred(lease) && Unreachable(lease);
@@ -122,13 +124,13 @@
   const bool grown = count > this->unreachable;
   this->unreachable = count;
   if (!grown) return;
-  this->keep_in_force_until = now + OrphanWatch::kKeepInForce;
-  for (const Lease& lease : this->leases) this->Plan(now, lease);
+  this->stay_in_force_until = now + OrphanDetector::kStayInForceTime;
+  for (const Lease& lease : this->leases) this->ScheduleNext(now, lease);
 }
 
-void Ownership::State::Plan(Instant now, const Lease& lease) {
+void Ownership::State::ScheduleNext(Instant now, const Lease& lease) {
   if (lease.in_flight) {
-    return this->SetTimer(lease, lease.sent + kCallLimit);
+    return this->SetTimer(lease, lease.sent + kMaxCallTime);
   }
   if (lease.phase != LeasePhase::kOwned) {
     return this->SetTimer(lease, this->AttachDue(now, lease));
@@ -141,17 +143,17 @@
 std::optional<Instant> Ownership::State::AttachDue(Instant now,
                                                    const Lease& lease) const {
   if (this->stopped || lease.drained) return std::nullopt;
-  if (this->Preferred(lease)) return lease.not_before;
+  if (this->Preferred(lease)) return lease.attach_not_before;
   const auto rack = this->racks.find(lease.description.rack);
   if (rack == this->racks.end()) return std::nullopt;
-  const std::optional<Instant> opened =
-      this->orphans.OpenSince(now, rack->second.owner);
-  if (!opened) return std::nullopt;
-  return this->OrphanAttachDue(lease, *opened);
+  const std::optional<Instant> window_start =
+      this->orphan_detector.AttachWindowStart(now, rack->second.owner);
+  if (!window_start) return std::nullopt;
+  return this->OrphanAttachDue(lease, *window_start);
 }
 
 Instant Ownership::State::OrphanAttachDue(const Lease& lease,
-                                          Instant opened) const {
+                                          Instant window_start) const {
   // The others try one after the other, so that the first one that reaches the
   // worker has it before the next one asks.
   const std::string_view worker = lease.description.id.Text();
@@ -160,7 +162,8 @@
       this->members, [worker, own](const ProcessId& member) {
         return detail::RendezvousWeight(worker, member.Text()) > own;
       });
-  return std::max(lease.not_before, opened + kRankPause * before);
+  return std::max(lease.attach_not_before,
+                  window_start + kAttachStagger * before);
 }
 
 bool Ownership::State::Drained(const Lease& lease) const {
@@ -170,48 +173,49 @@
 
 std::optional<Instant> Ownership::State::ReleaseDue(const Lease& lease) const {
   if (this->stopped || this->Drained(lease)) return Instant();
-  if (lease.stand_in) return lease.offer_at;
+  if (lease.substitute) return lease.hand_back_at;
   if (this->Preferred(lease)) return std::nullopt;
   const auto rack = this->racks.find(lease.description.rack);
   if (rack == this->racks.end()) return std::nullopt;
   return rack->second.since + this->options.hand_over_delay;
 }
 
-bool Ownership::State::KeepsInForce(Instant now, const Lease& lease) const {
-  if (!this->options.worker_checks_epoch || lease.stand_in) return true;
-  return lease.contested || now < this->keep_in_force_until;
+bool Ownership::State::MustStayInForce(Instant now, const Lease& lease) const {
+  if (!this->options.worker_checks_epoch || lease.substitute) return true;
+  return lease.contested || now < this->stay_in_force_until;
 }
 
-Duration Ownership::State::LongestInterval(Instant now,
-                                           const Lease& lease) const {
-  if (this->KeepsInForce(now, lease)) return this->options.lease / 3;
+Duration Ownership::State::LongestRenewalInterval(Instant now,
+                                                  const Lease& lease) const {
+  if (this->MustStayInForce(now, lease)) return this->options.lease / 3;
   // A task's lease must not lapse, and its end is learnt from a report.
-  const bool awaited =
-      lease.active || lease.description.leaving || !this->starts_told;
-  if (awaited) return this->options.task_lease / 3;
+  const bool report_needed =
+      lease.active || lease.description.leaving || !this->starts_reported;
+  if (report_needed) return this->options.task_lease / 3;
   // An idle worker's lease may lapse: the next start is accepted all the same
   // unless somebody else has attached, and then it is refused, not run. So a
   // crash frees the idle workers at once, and quiet costs few bytes.
   return detail::PacedInterval(
-      kIdleInterval, static_cast<std::int64_t>(this->owned),
+      kMinIdleRenewalInterval, static_cast<std::int64_t>(this->owned),
       detail::kRenewalBytes, this->options.renewal_bytes_per_second);
 }
 
 Instant Ownership::State::RenewalDue(Instant now, const Lease& lease) const {
-  if (lease.unreachable > 0) return lease.not_before;
-  const Duration longest = this->LongestInterval(now, lease);
+  if (lease.unreachable > 0) return lease.attach_not_before;
+  const Duration longest = this->LongestRenewalInterval(now, lease);
   const Duration interval = std::min(lease.interval, longest);
   // Answered starts renew the lease, so no heartbeat is needed while they come;
   // but only a report tells the end of detached tasks and renews their leases.
   const bool postponed = this->options.worker_checks_epoch &&
-                         !lease.long_tasks && lease.traffic > lease.sent;
+                         !lease.long_tasks && lease.start_answered > lease.sent;
   if (!postponed) return lease.sent + interval;
-  return std::min(lease.traffic + interval, lease.sent + longest);
+  return std::min(lease.start_answered + interval, lease.sent + longest);
 }
 
-void Ownership::State::Act(Instant now, Lease* lease, Actions* actions) {
-  if (lease->in_flight && now >= lease->sent + kCallLimit) {
-    this->GiveUpCall(now, lease);
+void Ownership::State::RunDueAction(Instant now, Lease* lease,
+                                    Actions* actions) {
+  if (lease->in_flight && now >= lease->sent + kMaxCallTime) {
+    this->AbandonCall(now, lease);
   }
   if (!lease->in_flight && lease->phase == LeasePhase::kOwned) {
     const std::optional<Instant> release = this->ReleaseDue(*lease);
@@ -224,14 +228,14 @@
     const std::optional<Instant> attach = this->AttachDue(now, *lease);
     if (attach && *attach <= now) this->Attach(now, lease, actions);
   }
-  this->Plan(now, *lease);
+  this->ScheduleNext(now, *lease);
 }
 
-void Ownership::State::GiveUpCall(Instant now, Lease* lease) {
+void Ownership::State::AbandonCall(Instant now, Lease* lease) {
   lease->in_flight = false;
-  if (!lease->doubted) lease->doubted = lease->sent;
+  if (!lease->oldest_unresolved) lease->oldest_unresolved = lease->sent;
   if (lease->phase == LeasePhase::kOwned) return;
-  lease->not_before = now;
+  lease->attach_not_before = now;
   this->SetPhase(lease, LeasePhase::kNone);
 }
 
@@ -248,9 +252,9 @@
   const bool repeat = lease->epoch > lease->highest;
   if (!repeat) {
     lease->epoch = this->NextEpoch(lease->highest);
-    lease->doubted.reset();
+    lease->oldest_unresolved.reset();
   }
-  lease->stand_in = !this->Preferred(*lease);
+  lease->substitute = !this->Preferred(*lease);
   this->SetPhase(lease, LeasePhase::kAttaching);
   lease->in_flight = true;
   lease->sent = now;
@@ -268,8 +272,8 @@
 }
 
 void Ownership::State::Release(Instant now, Lease* lease, Actions* actions) {
-  if (lease->stand_in) {
-    lease->not_before = now + OrphanWatch::kPause;
+  if (lease->substitute) {
+    lease->attach_not_before = now + OrphanDetector::kDetectionDelay;
   }
   lease->drained = this->Drained(*lease);
   this->SetPhase(lease, LeasePhase::kReleasing);
--- a/packages/core/src/ownership_state.h
+++ b/packages/core/src/ownership_state.h
@@ -9,7 +9,7 @@
 
 #include "lease_timers.h"
 #include "mustardproxy/core/ownership.h"
-#include "orphan_watch.h"
+#include "orphan_detector.h"
 
 namespace mustardproxy::detail {
 
@@ -36,23 +36,23 @@
   bool in_flight = false;
   Instant sent;
   /// When the oldest call was sent that was reported unreachable and may yet
-  /// be answered; see `Ownership::State::TakeSent`.
-  std::optional<Instant> doubted;
+  /// be answered; see `Ownership::State::CompleteCall`.
+  std::optional<Instant> oldest_unresolved;
   /// The lease in force was asked for at this moment or later.
   Instant granted;
 
   /// Calls without an answer in a row, and when the first of them was sent.
   std::int32_t unreachable = 0;
-  Instant silent_since;
+  Instant unreachable_since;
   /// Attaches refused in a row.
   std::int32_t refusals = 0;
   /// No attach before.
-  Instant not_before;
+  Instant attach_not_before;
 
   /// Interval of renewals; grows while they bring nothing new.
   Duration interval{0};
   Instant start_sent;
-  Instant traffic;
+  Instant start_answered;
   /// A task may be running there.
   bool active = false;
   /// A task was running there for longer than the shortest interval.
@@ -63,11 +63,11 @@
   /// kept in force, or an idle worker would change hands without end.
   bool contested = false;
   /// Owned though another member is preferred, which could not reach it.
-  bool stand_in = false;
+  bool substitute = false;
   /// When a stand-in offers the worker to the preferred owner, and the pause
   /// before the next offer.
-  Instant offer_at;
-  Duration offer_pause{0};
+  Instant hand_back_at;
+  Duration hand_back_delay{0};
   std::optional<Instant> leaving_since;
   /// Left and empty; not attached any more.
   bool drained = false;
@@ -92,18 +92,19 @@
   std::map<RackId, detail::RackPreference> racks;
   std::vector<ProcessId> members;
   detail::LeaseTimers timers;
-  detail::OrphanWatch orphans;
+  detail::OrphanDetector orphan_detector;
   ProcessId self;
   std::uint64_t generation = 0;
   /// The host list or the members have changed: all timers are set anew.
-  bool replan = true;
+  bool reschedule = true;
   bool stopped = false;
-  bool settled = false;
+  bool discovery_complete = false;
   /// `OnStartSent` is in use.
-  bool starts_told = false;
+  bool starts_reported = false;
   std::size_t owned = 0;
-  /// Until then leases of idle workers are kept in force; see `KeepsInForce`.
-  Instant keep_in_force_until;
+  /// Until then leases of idle workers are kept in force; see
+  /// `MustStayInForce`.
+  Instant stay_in_force_until;
   std::int32_t unreachable = 0;
   Instant next_check;
   Instant orphans_checked;
@@ -114,33 +115,33 @@
   void SetTimer(const detail::Lease& lease, std::optional<Instant> at);
 
   // What to do next with a worker (ownership_plan.cc).
-  void Replan(Instant now, const Membership& membership);
-  void RefreshRacks(Instant now, const Membership& membership);
+  void RescheduleAll(Instant now, const Membership& membership);
+  void UpdateRackPreferences(Instant now, const Membership& membership);
   void CheckOrphans(Instant now, const Membership& membership);
-  void Plan(Instant now, const detail::Lease& lease);
+  void ScheduleNext(Instant now, const detail::Lease& lease);
   [[nodiscard]] std::optional<Instant> AttachDue(
       Instant now, const detail::Lease& lease) const;
   [[nodiscard]] Instant OrphanAttachDue(const detail::Lease& lease,
-                                        Instant opened) const;
+                                        Instant window_start) const;
   [[nodiscard]] std::optional<Instant> ReleaseDue(
       const detail::Lease& lease) const;
   [[nodiscard]] bool Drained(const detail::Lease& lease) const;
   [[nodiscard]] Instant RenewalDue(Instant now,
                                    const detail::Lease& lease) const;
-  [[nodiscard]] bool KeepsInForce(Instant now,
-                                  const detail::Lease& lease) const;
-  [[nodiscard]] Duration LongestInterval(Instant now,
-                                         const detail::Lease& lease) const;
+  [[nodiscard]] bool MustStayInForce(Instant now,
+                                     const detail::Lease& lease) const;
+  [[nodiscard]] Duration LongestRenewalInterval(
+      Instant now, const detail::Lease& lease) const;
   [[nodiscard]] bool Preferred(const detail::Lease& lease) const;
 
   [[nodiscard]] std::vector<detail::OwnerCount> CountOwners(
       const Membership& membership) const;
   /// Keeps other leases in force while one of ours can not be reached.
-  void WatchUnreachable(Instant now);
+  void UpdateUnreachable(Instant now);
 
   // Calls.
-  void Act(Instant now, detail::Lease* lease, Actions* actions);
-  void GiveUpCall(Instant now, detail::Lease* lease);
+  void RunDueAction(Instant now, detail::Lease* lease, Actions* actions);
+  void AbandonCall(Instant now, detail::Lease* lease);
   /// @return the lowest epoch above `highest` that is this process's own
   [[nodiscard]] Epoch NextEpoch(Epoch highest) const;
   void Attach(Instant now, detail::Lease* lease, Actions* actions);
@@ -149,14 +150,14 @@
 
   // Their answers.
   /// Ends the call under way and says when it was sent at the earliest.
-  [[nodiscard]] Instant TakeSent(Instant now, detail::Lease* lease);
-  void TakeReport(Instant sent, const WorkerReport& report,
-                  detail::Lease* lease);
-  void NoteActivity(Instant now, detail::Lease* lease);
+  [[nodiscard]] Instant CompleteCall(Instant now, detail::Lease* lease);
+  void ApplyReport(Instant sent, const WorkerReport& report,
+                   detail::Lease* lease);
+  void MarkActive(Instant now, detail::Lease* lease);
   void SetPhase(detail::Lease* lease, detail::LeasePhase phase);
-  void Lose(Instant now, detail::Lease* lease);
+  void MarkLost(Instant now, detail::Lease* lease);
   /// @return `first` doubled `times` times up to `most`, then cut at random
-  [[nodiscard]] Duration BackOff(std::int32_t times, Duration most);
+  [[nodiscard]] Duration RetryDelay(std::int32_t times, Duration most);
 };
 
 }  // namespace mustardproxy
