--- a/packages/core/src/worker_health.cc
+++ b/packages/core/src/worker_health.cc
@@ -14,11 +14,11 @@
 namespace {
 
 /// Distinct healthy workers on which a request fails before it is at fault.
-constexpr std::size_t kWorkersToBlameRequest = 3;
+constexpr std::size_t kWorkersToFaultRequest = 3;
 /// Distinct workers on which a service fails before it can be at fault.
-constexpr std::size_t kWorkersToBlameService = 3;
+constexpr std::size_t kWorkersToFaultService = 3;
 /// A success this recent shows that the service works.
-constexpr Duration kServiceMemory = std::chrono::seconds(10);
+constexpr Duration kServiceSuccessWindow = std::chrono::seconds(10);
 /// Share of a worker that is probed: one of eight slots.
 constexpr double kProbeShare = 0.125;
 /// Successful probes in a row that begin the return.
@@ -28,7 +28,7 @@
 /// Failures in a row that eject a worker which is still returning.
 constexpr std::int32_t kFailuresWhileReturning = 2;
 /// Entries kept of one row; more add nothing to the evidence.
-constexpr std::size_t kMaxRow = 8;
+constexpr std::size_t kMaxConsecutiveFailures = 8;
 constexpr std::size_t kMaxTrackedRequests = 20'000;
 constexpr std::size_t kMaxServices = 4'096;
 
@@ -49,36 +49,37 @@
   const auto found = this->services.find(service);
   if (found == this->services.end()) return false;
   const detail::ServiceRecord& record = found->second;
-  if (record.failing.size() < kWorkersToBlameService) return false;
+  if (record.failing.size() < kWorkersToFaultService) return false;
   if (record.failing.size() * 2 <= this->workers.size()) return false;
   return !record.succeeded ||
-         this->latest - *record.succeeded >= kServiceMemory;
+         this->latest_time - *record.succeeded >= kServiceSuccessWindow;
 }
 
-std::int32_t WorkerHealth::State::EvidenceWithout(
+std::int32_t WorkerHealth::State::AttributedFailuresWithout(
     const HealthRecord& record, const RequestId& request) const {
-  return static_cast<std::int32_t>(
-      std::ranges::count_if(record.row, [&](const CountedFailure& failure) {
+  return static_cast<std::int32_t>(std::ranges::count_if(
+      record.consecutive_failures, [&](const CountedFailure& failure) {
         return failure.request != request &&
                !this->ServiceAtFault(failure.service);
       }));
 }
 
-std::int32_t WorkerHealth::State::Evidence(const HealthRecord& record) const {
-  return this->EvidenceWithout(record, RequestId());
+std::int32_t WorkerHealth::State::AttributedFailures(
+    const HealthRecord& record) const {
+  return this->AttributedFailuresWithout(record, RequestId());
 }
 
 bool WorkerHealth::State::Failing(const HealthRecord& record) const {
-  if (record.row.empty()) return false;
-  const RequestId& first = record.row.front().request;
-  const bool several =
-      std::ranges::any_of(record.row, [&first](const CountedFailure& failure) {
+  if (record.consecutive_failures.empty()) return false;
+  const RequestId& first = record.consecutive_failures.front().request;
+  const bool several = std::ranges::any_of(
+      record.consecutive_failures, [&first](const CountedFailure& failure) {
         return failure.request != first;
       });
   const std::int32_t needed = record.stage == HealthStage::kHealthy
                                   ? this->options.failures_to_eject
                                   : kFailuresWhileReturning;
-  return several && this->Evidence(record) >= needed;
+  return several && this->AttributedFailures(record) >= needed;
 }
 
 bool WorkerHealth::State::FailedOnHealthyWorkers(
@@ -86,19 +87,20 @@
   const auto found = this->requests.find(request);
   if (found == this->requests.end()) return false;
   // A worker that fails other requests too is no witness against this one.
-  const std::int32_t doubtful = this->options.failures_to_eject / 2;
+  const std::int32_t max_other_failures = this->options.failures_to_eject / 2;
   const auto healthy = [&](const WorkerId& worker) {
     const auto record = this->workers.find(worker);
     if (record == this->workers.end()) return false;
     if (record->second.stage == HealthStage::kEjected) return false;
-    return this->EvidenceWithout(record->second, request) <= doubtful;
+    return this->AttributedFailuresWithout(record->second, request) <=
+           max_other_failures;
   };
-  const auto witnesses =
+  const auto failed_on_healthy =
       std::ranges::count_if(found->second.failed_on, healthy);
-  return static_cast<std::size_t>(witnesses) >= kWorkersToBlameRequest;
+  return static_cast<std::size_t>(failed_on_healthy) >= kWorkersToFaultRequest;
 }
 
-bool WorkerHealth::State::MayEjectOneMore() const {
+bool WorkerHealth::State::BelowEjectionLimit() const {
   const auto ejected =
       std::ranges::count_if(this->workers, [](const auto& one) {
         return one.second.stage == HealthStage::kEjected;
@@ -116,7 +118,7 @@
     Instant now, const HealthRecord& record) const {
   switch (record.stage) {
     case HealthStage::kEjected:
-      if (now < record.until) return {false, 0};
+      if (now < record.ejected_until) return {false, 0};
       return {true, kProbeShare};
     case HealthStage::kReturning: {
       const std::int32_t step =
@@ -136,13 +138,13 @@
 std::optional<Instant> WorkerHealth::State::NextChange(
     const HealthRecord& record) const {
   if (record.stage == HealthStage::kEjected) {
-    if (this->latest < record.until) return record.until;
+    if (this->latest_time < record.ejected_until) return record.ejected_until;
     return std::nullopt;
   }
   if (record.stage != HealthStage::kReturning) return std::nullopt;
   const Duration step = this->options.return_time / kReturnSteps;
   const std::int32_t done =
-      ReturnStep(this->latest, record, this->options.return_time);
+      ReturnStep(this->latest_time, record, this->options.return_time);
   return record.return_began + step * (done + 1);
 }
 
@@ -158,83 +160,95 @@
   }
 }
 
-void WorkerHealth::State::AddToRow(const WorkerId& worker,
-                                   CountedFailure failure,
-                                   HealthRecord* record) {
+void WorkerHealth::State::AddFailure(const WorkerId& worker,
+                                     CountedFailure failure,
+                                     HealthRecord* record) {
   const bool known = this->services.contains(failure.service);
   if (known || this->services.size() < kMaxServices) {
     this->services[failure.service].failing.insert(worker);
   }
-  if (record->row.size() >= kMaxRow) record->row.erase(record->row.begin());
-  record->row.push_back(std::move(failure));
+  if (record->consecutive_failures.size() >= kMaxConsecutiveFailures) {
+    record->consecutive_failures.erase(record->consecutive_failures.begin());
+  }
+  record->consecutive_failures.push_back(std::move(failure));
 }
 
-void WorkerHealth::State::EndRow(const WorkerId& worker, HealthRecord* record) {
-  for (const CountedFailure& failure : record->row) {
+void WorkerHealth::State::ClearFailures(const WorkerId& worker,
+                                        HealthRecord* record) {
+  for (const CountedFailure& failure : record->consecutive_failures) {
     const auto service = this->services.find(failure.service);
     if (service != this->services.end()) service->second.failing.erase(worker);
   }
-  record->row.clear();
+  record->consecutive_failures.clear();
 }
 
 void WorkerHealth::State::Eject(Instant now, const WorkerId& worker,
                                 HealthRecord* record) {
   const bool soon = record->ejection > Duration(0) &&
-                    now - record->until < this->options.max_ejection;
+                    now - record->ejected_until < this->options.max_ejection;
   record->ejection =
       soon ? std::min(record->ejection * 2, this->options.max_ejection)
            : this->options.ejection;
   record->failed_probe = record->stage != HealthStage::kHealthy;
   record->stage = HealthStage::kEjected;
-  record->until = now + record->ejection;
+  record->ejected_until = now + record->ejection;
   record->probes_succeeded = 0;
-  this->timed.insert(worker);
+  this->time_dependent.insert(worker);
 }
 
-void WorkerHealth::State::StrikeFrom(Instant now, const RequestId& request,
-                                     const WorkerId& worker) {
+void WorkerHealth::State::DiscountRequestOn(Instant now,
+                                            const RequestId& request,
+                                            const WorkerId& worker) {
   const auto entry = this->workers.find(worker);
   if (entry == this->workers.end()) return;
   HealthRecord& record = entry->second;
-  std::vector<CountedFailure> row = std::move(record.row);
-  this->EndRow(worker, &record);
-  std::erase_if(row, [&request](const CountedFailure& failure) {
-    return failure.request == request;
-  });
-  for (CountedFailure& failure : row) {
-    this->AddToRow(worker, std::move(failure), &record);
+  std::vector<CountedFailure> consecutive_failures =
+      std::move(record.consecutive_failures);
+  this->ClearFailures(worker, &record);
+  std::erase_if(consecutive_failures,
+                [&request](const CountedFailure& failure) {
+                  return failure.request == request;
+                });
+  for (CountedFailure& failure : consecutive_failures) {
+    this->AddFailure(worker, std::move(failure), &record);
+  }
+  this->dirty.insert(worker);
+  if (record.stage != HealthStage::kEjected || now >= record.ejected_until) {
+    return;
   }
-  this->touched.insert(worker);
-  if (record.stage != HealthStage::kEjected || now >= record.until) return;
   if (record.failed_probe) {
-    if (row.empty()) record.until = now;
+    if (consecutive_failures.empty()) record.ejected_until = now;
+    return;
+  }
+  if (this->AttributedFailures(record) >= this->options.failures_to_eject) {
     return;
   }
-  if (this->Evidence(record) >= this->options.failures_to_eject) return;
   record.stage = HealthStage::kHealthy;
   record.ejection = Duration(0);
 }
 
-void WorkerHealth::State::Strike(Instant now, const RequestId& request) {
+void WorkerHealth::State::DiscountRequest(Instant now,
+                                          const RequestId& request) {
   // Failure: one bad request, tried again and again, fails on good workers and
   // would eject them one after the other. Once it is known to be at fault, its
   // failures are struck from the rows, and ejections that rested on them end.
   const std::set<WorkerId> failed_on = this->requests[request].failed_on;
   for (const WorkerId& worker : failed_on) {
-    this->StrikeFrom(now, request, worker);
+    this->DiscountRequestOn(now, request, worker);
   }
 }
 
-void WorkerHealth::State::Renew(Instant now, const WorkerId& worker,
-                                std::vector<WorkerId>* changed) {
+void WorkerHealth::State::RefreshAvailability(Instant now,
+                                              const WorkerId& worker,
+                                              std::vector<WorkerId>* changed) {
   HealthRecord& record = this->workers.at(worker);
   const bool returned = record.stage == HealthStage::kReturning &&
                         now - record.return_began >= this->options.return_time;
   if (returned) record.stage = HealthStage::kHealthy;
-  if (record.stage == HealthStage::kHealthy) this->timed.erase(worker);
-  const WorkerAvailability standing = this->AvailabilityOf(now, record);
-  if (standing != record.reported) changed->push_back(worker);
-  record.reported = standing;
+  if (record.stage == HealthStage::kHealthy) this->time_dependent.erase(worker);
+  const WorkerAvailability availability = this->AvailabilityOf(now, record);
+  if (availability != record.reported_availability) changed->push_back(worker);
+  record.reported_availability = availability;
 }
 
 WorkerHealth::WorkerHealth(WorkerHealthOptions options)
@@ -249,7 +263,7 @@
 void WorkerHealth::OnSuccess(Instant now, const WorkerId& worker,
                              const ServiceId& service) {
   State& all = *this->state;
-  all.latest = std::max(all.latest, now);
+  all.latest_time = std::max(all.latest_time, now);
   if (!service.Empty()) {
     const auto known = all.services.find(service);
     if (known != all.services.end()) known->second.succeeded = now;
@@ -257,11 +271,16 @@
   const auto found = all.workers.find(worker);
   if (found == all.workers.end()) return;
   HealthRecord& record = found->second;
-  if (record.stage == HealthStage::kHealthy && record.row.empty()) return;
-  all.EndRow(worker, &record);
-  all.touched.insert(worker);
+  if (record.stage == HealthStage::kHealthy &&
+      record.consecutive_failures.empty()) {
+    return;
+  }
+  all.ClearFailures(worker, &record);
+  all.dirty.insert(worker);
   // An answer that was under way when the worker was ejected proves nothing.
-  if (record.stage != HealthStage::kEjected || now < record.until) return;
+  if (record.stage != HealthStage::kEjected || now < record.ejected_until) {
+    return;
+  }
   if (++record.probes_succeeded < kProbesToReturn) return;
   record.stage = HealthStage::kReturning;
   record.return_began = now;
@@ -271,33 +290,33 @@
                              const ServiceId& service,
                              const RequestId& request) {
   State& all = *this->state;
-  all.latest = std::max(all.latest, now);
+  all.latest_time = std::max(all.latest_time, now);
   const auto found = all.workers.find(worker);
   if (found == all.workers.end()) return;
   HealthRecord& record = found->second;
   all.Track(request, worker);
-  all.touched.insert(worker);
+  all.dirty.insert(worker);
   detail::RequestRecord& tracked = all.requests[request];
   // What is known to be at fault itself says nothing about a worker.
   if (tracked.at_fault) return;
-  all.AddToRow(worker, {service, request}, &record);
+  all.AddFailure(worker, {service, request}, &record);
   tracked.at_fault = all.FailedOnHealthyWorkers(request);
-  if (tracked.at_fault) return all.Strike(now, request);
+  if (tracked.at_fault) return all.DiscountRequest(now, request);
   if (all.ServiceAtFault(service)) return;
-  all.Judge(now, worker, &record);
+  all.EjectIfFailing(now, worker, &record);
 }
 
-void WorkerHealth::State::Judge(Instant now, const WorkerId& worker,
-                                HealthRecord* record) {
+void WorkerHealth::State::EjectIfFailing(Instant now, const WorkerId& worker,
+                                         HealthRecord* record) {
   record->probes_succeeded = 0;
   if (record->stage == HealthStage::kEjected) {
     // A failure that was under way at the ejection is no probe.
-    if (now >= record->until) this->Eject(now, worker, record);
+    if (now >= record->ejected_until) this->Eject(now, worker, record);
     return;
   }
   if (!this->Failing(*record)) return;
   const bool again = record->stage == HealthStage::kReturning;
-  if (again || this->MayEjectOneMore()) this->Eject(now, worker, record);
+  if (again || this->BelowEjectionLimit()) this->Eject(now, worker, record);
 }
 
 void WorkerHealth::Add(const WorkerId& worker) {
@@ -307,10 +326,10 @@
 void WorkerHealth::Remove(const WorkerId& worker) {
   const auto found = this->state->workers.find(worker);
   if (found == this->state->workers.end()) return;
-  this->state->EndRow(worker, &found->second);
+  this->state->ClearFailures(worker, &found->second);
   this->state->workers.erase(found);
-  this->state->touched.erase(worker);
-  this->state->timed.erase(worker);
+  this->state->dirty.erase(worker);
+  this->state->time_dependent.erase(worker);
 }
 
 WorkerAvailability WorkerHealth::Availability(Instant now,
@@ -322,12 +341,14 @@
 
 std::vector<WorkerId> WorkerHealth::TakeChanged(Instant now) {
   State& all = *this->state;
-  all.latest = std::max(all.latest, now);
-  std::set<WorkerId> due = std::move(all.touched);
-  all.touched.clear();
-  due.insert(all.timed.begin(), all.timed.end());
+  all.latest_time = std::max(all.latest_time, now);
+  std::set<WorkerId> due = std::move(all.dirty);
+  all.dirty.clear();
+  due.insert(all.time_dependent.begin(), all.time_dependent.end());
   std::vector<WorkerId> changed;
-  for (const WorkerId& worker : due) all.Renew(now, worker, &changed);
+  for (const WorkerId& worker : due) {
+    all.RefreshAvailability(now, worker, &changed);
+  }
   return changed;
 }
 
@@ -342,7 +363,7 @@
 
 Instant WorkerHealth::NextWakeup() const {
   Instant next = Instant::max();
-  for (const WorkerId& worker : this->state->timed) {
+  for (const WorkerId& worker : this->state->time_dependent) {
     const auto change =
         this->state->NextChange(this->state->workers.at(worker));
     if (change) next = std::min(next, *change);
