--- a/packages/core/include/mustardproxy/core/deferred_store.h
+++ b/packages/core/include/mustardproxy/core/deferred_store.h
@@ -53,7 +53,7 @@
   [[nodiscard]] std::size_t Size() const;
   /// Bytes of bodies held.
   [[nodiscard]] std::size_t Bytes() const;
-  [[nodiscard]] std::size_t UnfinishedIn(const JournalId& journal) const;
+  [[nodiscard]] std::size_t UnfinishedCount(const JournalId& journal) const;
 
  private:
   struct State;
--- a/packages/core/src/deferred_store.cc
+++ b/packages/core/src/deferred_store.cc
@@ -24,15 +24,15 @@
   Instant ended;
 };
 
-bool Live(const StoredEntry& stored) {
+bool IsUnfinished(const StoredEntry& stored) {
   return stored.order != 0 && !stored.entry.ended;
 }
 
 }  // namespace
 
 struct DeferredStore::State {
-  StoredEntry& Obtain(const RequestId& request, const JournalId& journal);
-  void End(Instant now, StoredEntry* stored, DeferredState end, bool ran);
+  StoredEntry& FindOrCreate(const RequestId& request, const JournalId& journal);
+  void MarkEnded(Instant now, StoredEntry* stored, DeferredState end, bool ran);
 
   void Apply(Instant now, const JournalId& journal,
              const AcceptedRecord& record);
@@ -55,8 +55,8 @@
   std::size_t bytes = 0;
 };
 
-StoredEntry& DeferredStore::State::Obtain(const RequestId& request,
-                                          const JournalId& journal) {
+StoredEntry& DeferredStore::State::FindOrCreate(const RequestId& request,
+                                                const JournalId& journal) {
   const auto [place, added] = this->entries.try_emplace(request);
   if (added) {
     place->second.entry.request.id = request;
@@ -65,10 +65,10 @@
   return place->second;
 }
 
-void DeferredStore::State::End(Instant now, StoredEntry* stored,
-                               DeferredState end, bool ran) {
+void DeferredStore::State::MarkEnded(Instant now, StoredEntry* stored,
+                                     DeferredState end, bool ran) {
   DeferredEntry& entry = stored->entry;
-  if (Live(*stored)) {
+  if (IsUnfinished(*stored)) {
     --this->unfinished[entry.journal];
   }
   entry.state = end;
@@ -81,7 +81,7 @@
 
 void DeferredStore::State::Apply(Instant /*now*/, const JournalId& journal,
                                  const AcceptedRecord& record) {
-  StoredEntry& stored = this->Obtain(record.request.id, journal);
+  StoredEntry& stored = this->FindOrCreate(record.request.id, journal);
   if (stored.order != 0) {
     return;
   }
@@ -97,7 +97,7 @@
 
 void DeferredStore::State::Apply(Instant /*now*/, const JournalId& journal,
                                  const StartedRecord& record) {
-  DeferredEntry& entry = this->Obtain(record.request, journal).entry;
+  DeferredEntry& entry = this->FindOrCreate(record.request, journal).entry;
   if (entry.ended || record.attempt < entry.attempt) {
     return;
   }
@@ -116,21 +116,21 @@
 
 void DeferredStore::State::Apply(Instant now, const JournalId& journal,
                                  const FinishedRecord& record) {
-  StoredEntry& stored = this->Obtain(record.request, journal);
+  StoredEntry& stored = this->FindOrCreate(record.request, journal);
   if (stored.entry.ended) {
     return;
   }
   stored.entry.result = record.answer;
   this->bytes += View(record.answer.body).size();
-  this->End(now, &stored, record.state,
-            record.answer.outcome != Outcome::kNotRun);
+  this->MarkEnded(now, &stored, record.state,
+                  record.answer.outcome != Outcome::kNotRun);
 }
 
 void DeferredStore::State::Apply(Instant now, const JournalId& journal,
                                  const CancelledRecord& record) {
-  StoredEntry& stored = this->Obtain(record.request, journal);
+  StoredEntry& stored = this->FindOrCreate(record.request, journal);
   if (!stored.entry.ended) {
-    this->End(now, &stored, DeferredState::kCancelled, record.ran);
+    this->MarkEnded(now, &stored, DeferredState::kCancelled, record.ran);
   }
 }
 
@@ -221,7 +221,7 @@
 
 std::size_t DeferredStore::Bytes() const { return this->state->bytes; }
 
-std::size_t DeferredStore::UnfinishedIn(const JournalId& journal) const {
+std::size_t DeferredStore::UnfinishedCount(const JournalId& journal) const {
   const auto found = this->state->unfinished.find(journal);
   return found == this->state->unfinished.end() ? 0 : found->second;
 }
--- a/packages/core/src/journal.cc
+++ b/packages/core/src/journal.cc
@@ -16,7 +16,7 @@
 /// Records about work that was accepted before may fill this many times the
 /// bound at which new work is refused: dropping one of them would lose an end
 /// or a start, which costs more than memory.
-constexpr std::size_t kFollowUpShare = 2;
+constexpr std::size_t kFollowUpLimitFactor = 2;
 
 struct PendingRecord {
   std::uint64_t ticket = 0;
@@ -27,7 +27,7 @@
 };
 
 /// The one batch whose end is not known yet.
-struct Flight {
+struct SentBatch {
   JournalBatch batch;
   std::vector<std::uint64_t> tickets;
   std::size_t bytes = 0;
@@ -49,8 +49,8 @@
 
   [[nodiscard]] std::size_t ByteLimit(const JournalRecord& record) const;
   void StampPending(Instant now);
-  void TakeBatch();
-  void MoveFrontInto(Flight* target);
+  void FillBatch();
+  void MoveFrontInto(SentBatch* target);
   void Send(Instant now, Actions* actions);
 
   JournalId name;
@@ -62,14 +62,14 @@
   std::deque<PendingRecord> pending;
   /// Of pending records and the batch in flight.
   std::size_t held_bytes = 0;
-  std::optional<Flight> flight;
+  std::optional<SentBatch> sent_batch;
   bool fenced = false;
 };
 
 std::size_t Journal::State::ByteLimit(const JournalRecord& record) const {
   const bool new_work = std::holds_alternative<AcceptedRecord>(record);
   const std::size_t limit = this->options.max_pending_bytes;
-  return new_work ? limit : kFollowUpShare * limit;
+  return new_work ? limit : kFollowUpLimitFactor * limit;
 }
 
 void Journal::State::StampPending(Instant now) {
@@ -82,8 +82,8 @@
   }
 }
 
-void Journal::State::TakeBatch() {
-  Flight next;
+void Journal::State::FillBatch() {
+  SentBatch next;
   next.batch.journal = this->name;
   next.batch.sequence = this->next_sequence;
   next.batch.batch_id = this->random();
@@ -99,10 +99,10 @@
     }
     this->MoveFrontInto(&next);
   }
-  this->flight = std::move(next);
+  this->sent_batch = std::move(next);
 }
 
-void Journal::State::MoveFrontInto(Flight* target) {
+void Journal::State::MoveFrontInto(SentBatch* target) {
   PendingRecord& front = this->pending.front();
   target->bytes += front.bytes;
   target->tickets.push_back(front.ticket);
@@ -112,8 +112,8 @@
 
 void Journal::State::Send(Instant now, Actions* actions) {
   this->pacer.Take(now);
-  this->flight->retry_at.reset();
-  actions->push_back(AppendJournal{this->flight->batch});
+  this->sent_batch->retry_at.reset();
+  actions->push_back(AppendJournal{this->sent_batch->batch});
 }
 
 Journal::Journal(JournalId id, std::uint64_t first_sequence,
@@ -145,15 +145,15 @@
   if (this->state->fenced || now < this->state->pacer.ReadyAt()) {
     return;
   }
-  if (this->state->flight) {
-    const std::optional<Instant> retry_at = this->state->flight->retry_at;
+  if (this->state->sent_batch) {
+    const std::optional<Instant> retry_at = this->state->sent_batch->retry_at;
     if (retry_at && now >= *retry_at) {
       this->state->Send(now, actions);
     }
     return;
   }
   if (!this->state->pending.empty()) {
-    this->state->TakeBatch();
+    this->state->FillBatch();
     this->state->Send(now, actions);
   }
 }
@@ -163,12 +163,14 @@
   this->state->StampPending(now);
   // A report that comes twice, or after the journal was fenced, must not make
   // the records of a later batch durable.
-  if (!this->state->flight || this->state->flight->batch.sequence != sequence) {
+  if (!this->state->sent_batch ||
+      this->state->sent_batch->batch.sequence != sequence) {
     return {};
   }
-  std::vector<std::uint64_t> durable = std::move(this->state->flight->tickets);
-  this->state->held_bytes -= this->state->flight->bytes;
-  this->state->flight.reset();
+  std::vector<std::uint64_t> durable =
+      std::move(this->state->sent_batch->tickets);
+  this->state->held_bytes -= this->state->sent_batch->bytes;
+  this->state->sent_batch.reset();
   this->state->next_sequence = sequence + 1;
   return durable;
 }
@@ -176,13 +178,15 @@
 void Journal::OnFenced() {
   this->state->fenced = true;
   this->state->pending.clear();
-  this->state->flight.reset();
+  this->state->sent_batch.reset();
   this->state->held_bytes = 0;
 }
 
 void Journal::OnUncertain(Instant now, std::uint64_t sequence) {
-  if (this->state->flight && this->state->flight->batch.sequence == sequence) {
-    this->state->flight->retry_at = now + this->state->options.retry_interval;
+  if (this->state->sent_batch &&
+      this->state->sent_batch->batch.sequence == sequence) {
+    this->state->sent_batch->retry_at =
+        now + this->state->options.retry_interval;
   }
 }
 
@@ -191,12 +195,12 @@
 bool Journal::Fenced() const { return this->state->fenced; }
 
 bool Journal::Idle() const {
-  return this->state->pending.empty() && !this->state->flight;
+  return this->state->pending.empty() && !this->state->sent_batch;
 }
 
 Duration Journal::OldestPending(Instant now) const {
-  if (this->state->flight) {
-    return now - this->state->flight->since;
+  if (this->state->sent_batch) {
+    return now - this->state->sent_batch->since;
   }
   if (this->state->pending.empty()) {
     return Duration{0};
@@ -209,8 +213,8 @@
 }
 
 Instant Journal::NextWakeup() const {
-  if (this->state->flight) {
-    const std::optional<Instant> retry_at = this->state->flight->retry_at;
+  if (this->state->sent_batch) {
+    const std::optional<Instant> retry_at = this->state->sent_batch->retry_at;
     return retry_at ? std::max(*retry_at, this->state->pacer.ReadyAt())
                     : Instant::max();
   }
--- a/packages/core/src/journal_pacer.cc
+++ b/packages/core/src/journal_pacer.cc
@@ -6,7 +6,7 @@
 namespace mustardproxy::detail {
 namespace {
 
-constexpr double kSlowestPerSecond = 0.001;
+constexpr double kMinPerSecond = 0.001;
 
 Duration Seconds(double seconds) {
   return std::chrono::duration_cast<Duration>(
@@ -16,9 +16,9 @@
 }  // namespace
 
 JournalPacer::JournalPacer(double per_second, double burst)
-    : interval(Seconds(1.0 / std::max(per_second, kSlowestPerSecond))),
+    : interval(Seconds(1.0 / std::max(per_second, kMinPerSecond))),
       tolerance(Seconds((std::max(burst, 1.0) - 1.0) /
-                        std::max(per_second, kSlowestPerSecond))) {}
+                        std::max(per_second, kMinPerSecond))) {}
 
 Instant JournalPacer::ReadyAt() const {
   return this->full_at - this->tolerance;
--- a/packages/core/tests/deferred_store_recovery_test.cc
+++ b/packages/core/tests/deferred_store_recovery_test.cc
@@ -91,7 +91,7 @@
   BOOST_TEST((store.Find(RequestId("a"))->state == DeferredState::kCancelled));
   BOOST_TEST(store.Find(RequestId("a"))->ran);
   BOOST_TEST(View(store.Find(RequestId("b"))->result.body) == "result");
-  BOOST_TEST(store.UnfinishedIn(kJournal) == 2U);
+  BOOST_TEST(store.UnfinishedCount(kJournal) == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(applying_everything_again_changes_nothing) {
@@ -110,7 +110,7 @@
   BOOST_TEST(store.Size() == 2U);
   BOOST_TEST(store.Bytes() == bytes);
   BOOST_TEST(bytes == 10U);
-  BOOST_TEST(store.UnfinishedIn(kJournal) == 1U);
+  BOOST_TEST(store.UnfinishedCount(kJournal) == 1U);
   BOOST_TEST((*store.Find(RequestId("a"))->ended == kStart));
 }
 
@@ -123,7 +123,7 @@
       Batches({Finished("a"), Accepted("a"), Started("a", 0, 1)});
   BOOST_TEST(store.Recover(kStart, kJournal, batches).empty());
   BOOST_TEST((store.Find(RequestId("a"))->state == DeferredState::kFinished));
-  BOOST_TEST(store.UnfinishedIn(kJournal) == 0U);
+  BOOST_TEST(store.UnfinishedCount(kJournal) == 0U);
   BOOST_TEST(store.Bytes() == 6U);
 }
 
