--- a/packages/core/include/mustardproxy/core/actions.h
+++ b/packages/core/include/mustardproxy/core/actions.h
@@ -81,7 +81,7 @@
   WorkerId worker;
   std::string address;
   Epoch epoch = 0;
-  TaskOrder order;
+  TaskSpec spec;
   /// Time until the answer is given up on.
   Duration timeout{0};
 };
--- a/packages/core/include/mustardproxy/core/request.h
+++ b/packages/core/include/mustardproxy/core/request.h
@@ -86,7 +86,7 @@
 };
 
 /// One task as it is sent to a worker.
-struct TaskOrder {
+struct TaskSpec {
   TaskId task;
   RequestId request;
   ServiceId service;
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -65,13 +65,13 @@
   start.worker = plan.worker;
   start.address = owned->description.address;
   start.epoch = plan.epoch;
-  start.order.task = plan.task;
-  start.order.request = plan.request;
-  start.order.service = plan.service;
-  start.order.resources = plan.resources;
-  start.order.max_run = plan.max_run;
-  start.order.body = std::move(body);
-  start.order.detached = plan.detached;
+  start.spec.task = plan.task;
+  start.spec.request = plan.request;
+  start.spec.service = plan.service;
+  start.spec.resources = plan.resources;
+  start.spec.max_run = plan.max_run;
+  start.spec.body = std::move(body);
+  start.spec.detached = plan.detached;
   start.timeout = timeout;
   this->parts->context.Emit(std::move(start));
   this->parts->context.Record(TaskEvent(
--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -25,8 +25,8 @@
   const RequestId id = harness.SendRequest("review");
   BOOST_TEST(harness.Take<ReplyAccepted>().size() == 1U);
   const StartTask start = harness.TakeStart();
-  BOOST_TEST(start.order.detached);
-  harness.Send(TaskStarted{start.worker, start.order.task});
+  BOOST_TEST(start.spec.detached);
+  harness.Send(TaskStarted{start.worker, start.spec.task});
   BOOST_TEST((QueryStatus(&harness, id).state == DeferredState::kRunning));
   harness.EndTask(start);
   const DeferredStatus status = QueryStatus(&harness, id);
@@ -242,7 +242,7 @@
   }
   const auto stops = harness.Take<StopTask>();
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  BOOST_TEST(stops.front().task == start.order.task);
+  BOOST_TEST(stops.front().task == start.spec.task);
 }
 
 // Two processes read the journal of a dead process. The one whose fence is late
@@ -274,12 +274,12 @@
   harness.SendRequest("means");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
-  harness.Send(TaskStarted{starts[0].worker, starts[0].order.task});
+  harness.Send(TaskStarted{starts[0].worker, starts[0].spec.task});
   harness.Send(
-      TaskNotStarted{starts[1].worker, starts[1].order.task, Error::kNoWorker});
+      TaskNotStarted{starts[1].worker, starts[1].spec.task, Error::kNoWorker});
   const auto stops = harness.Take<StopTask>();
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  BOOST_TEST(stops.front().task == starts[0].order.task);
+  BOOST_TEST(stops.front().task == starts[0].spec.task);
   harness.Send(
       TaskStopAnswered{stops.front().worker, stops.front().task, true});
   harness.Advance(std::chrono::seconds(5));
@@ -309,7 +309,7 @@
   for (int i = 0; i < kMostStarts; ++i) {
     for (const StartTask& start : harness.Take<StartTask>()) {
       ++starts;
-      harness.Send(TaskStarted{start.worker, start.order.task});
+      harness.Send(TaskStarted{start.worker, start.spec.task});
     }
     harness.silent_workers.insert(WorkerId("w1"));
     harness.Advance(std::chrono::seconds(30));
--- a/packages/core/tests/core_forward_test.cc
+++ b/packages/core/tests/core_forward_test.cc
@@ -129,7 +129,7 @@
   harness.Send(QueryArrived{5, request.id, true, true, false});
   BOOST_TEST(harness.Take<AnswerQuery>().empty());
   BOOST_TEST(harness.Take<StopTask>().size() == 1U);
-  harness.Send(TaskStopAnswered{start.worker, start.order.task, true});
+  harness.Send(TaskStopAnswered{start.worker, start.spec.task, true});
   const auto answers = harness.Take<AnswerQuery>();
   BOOST_TEST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers.front().status->state == DeferredState::kCancelled));
--- a/packages/core/tests/core_harness.cc
+++ b/packages/core/tests/core_harness.cc
@@ -185,8 +185,8 @@
 void CoreHarness::EndTask(const StartTask& start, std::int32_t status,
                           TaskEnd end) {
   EndedTask ended;
-  ended.task = start.order.task;
-  ended.request = start.order.request;
+  ended.task = start.spec.task;
+  ended.request = start.spec.request;
   ended.end = end;
   ended.status = status;
   ended.body = std::make_shared<const std::string>("answer");
--- a/packages/core/tests/core_recovery_test.cc
+++ b/packages/core/tests/core_recovery_test.cc
@@ -60,12 +60,12 @@
   CoreHarness harness(1);
   harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskStarted{first.worker, first.order.task});
+  harness.Send(TaskStarted{first.worker, first.spec.task});
   harness.EndTask(first, 500, TaskEnd::kFailed);
   harness.Advance(std::chrono::seconds(8));
   const auto again = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(again.size() == 1U);
-  BOOST_TEST(again.front().order.task != first.order.task);
+  BOOST_TEST(again.front().spec.task != first.spec.task);
 }
 
 // A process without workers hands its journal over while the *accepted* record
@@ -220,7 +220,7 @@
   harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
   harness.silent_workers.insert(first.worker);
-  harness.Send(TaskUncertain{first.worker, first.order.task, {}});
+  harness.Send(TaskUncertain{first.worker, first.spec.task, {}});
   for (int i = 0; i < 50; ++i) {
     AnswerQueries(&harness, TaskQueried::State::kUnreachable);
     harness.Advance(std::chrono::seconds(1));
@@ -242,7 +242,7 @@
   CoreHarness harness(2);
   harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskUncertain{first.worker, first.order.task, {}});
+  harness.Send(TaskUncertain{first.worker, first.spec.task, {}});
   harness.worker_incarnation += 1;
   AnswerQueries(&harness, TaskQueried::State::kNeverStarted);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
@@ -255,11 +255,11 @@
   CoreHarness harness(2);
   harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskUncertain{first.worker, first.order.task, {}});
+  harness.Send(TaskUncertain{first.worker, first.spec.task, {}});
   harness.workers_answer = false;
   TaskQueried never;
   never.worker = first.worker;
-  never.task = first.order.task;
+  never.task = first.spec.task;
   never.state = TaskQueried::State::kNeverStarted;
   harness.Send(never);
   BOOST_TEST(harness.Take<StartTask>().empty());
@@ -295,7 +295,7 @@
   CoreHarness harness(2);
   harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskStarted{first.worker, first.order.task});
+  harness.Send(TaskStarted{first.worker, first.spec.task});
   harness.silent_workers.insert(first.worker);
   for (const std::optional<bool> left :
        {std::optional<bool>(), std::optional<bool>(true)}) {
@@ -365,8 +365,8 @@
                            {{journal, 1, 11, {AcceptedRecord{request}}},
                             {journal, 2, 12, {HandedOverRecord{}}}}});
   const StartTask start = harness.TakeStart();
-  BOOST_TEST(start.order.task != TaskId("p2.b2.1/0/1"));
-  BOOST_TEST(start.order.task != TaskId("p2.b2.1/0/2"));
+  BOOST_TEST(start.spec.task != TaskId("p2.b2.1/0/1"));
+  BOOST_TEST(start.spec.task != TaskId("p2.b2.1/0/2"));
 }
 
 // A worker is taken over with running tasks of its former owner. Their
@@ -404,7 +404,7 @@
   harness.AddPeerWithRoom("p2", "dc1");
   const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
-  harness.Send(TaskStarted{start.worker, start.order.task});
+  harness.Send(TaskStarted{start.worker, start.spec.task});
   harness.workers_answer = false;
   harness.Send(WorkerRefused{start.worker, harness.epochs[start.worker],
                              ~Epoch{0} / 2, ProcessId("p2"),
@@ -421,7 +421,7 @@
   BOOST_TEST(harness.Take<QueryPeer>().size() == 1U);
   harness.Advance(std::chrono::milliseconds(1500));
   EndedTask ended;
-  ended.task = start.order.task;
+  ended.task = start.spec.task;
   ended.end = TaskEnd::kStopped;
   harness.Send(TaskEnded{start.worker, ended});
   BOOST_TEST(harness.Take<Reply>().size() == 1U);
@@ -483,7 +483,7 @@
   CoreHarness harness(1);
   harness.SendRequest("review");
   const StartTask start = harness.TakeStart();
-  harness.Send(TaskStarted{start.worker, start.order.task});
+  harness.Send(TaskStarted{start.worker, start.spec.task});
   const auto appends = harness.Take<AppendJournal>();
   BOOST_TEST_REQUIRE(appends.size() == 2U);
   const JournalId journal = appends[0].batch.journal;
@@ -554,11 +554,11 @@
   const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Send(CancelRequested{id});
-  harness.Send(TaskStopAnswered{start.worker, start.order.task, false});
+  harness.Send(TaskStopAnswered{start.worker, start.spec.task, false});
   BOOST_TEST(harness.Take<Reply>().empty());
   const auto queries = harness.Take<QueryTask>();
   BOOST_TEST_REQUIRE(queries.size() == 1U);
-  BOOST_TEST(queries.front().task == start.order.task);
+  BOOST_TEST(queries.front().task == start.spec.task);
 }
 
 // A screen ran and failed, and expires while it is queued for another attempt.
--- a/packages/core/tests/core_request_test.cc
+++ b/packages/core/tests/core_request_test.cc
@@ -12,8 +12,8 @@
   CoreHarness harness(2);
   const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
-  BOOST_TEST(start.order.request == id);
-  BOOST_TEST(!start.order.detached);
+  BOOST_TEST(start.spec.request == id);
+  BOOST_TEST(!start.spec.detached);
   harness.EndTask(start);
   const Reply reply = harness.TakeReply();
   BOOST_TEST(reply.request == id);
@@ -55,7 +55,7 @@
   harness.EndTask(first, 500, TaskEnd::kFailed);
   const StartTask second = harness.TakeStart();
   BOOST_TEST(second.worker != first.worker);
-  BOOST_TEST(second.order.task != first.order.task);
+  BOOST_TEST(second.spec.task != first.spec.task);
   harness.EndTask(second);
   BOOST_TEST(harness.TakeReply().answer.status == 200);
 }
@@ -76,8 +76,7 @@
   CoreHarness harness(2);
   harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
-  harness.Send(
-      TaskNotStarted{first.worker, first.order.task, Error::kNoWorker});
+  harness.Send(TaskNotStarted{first.worker, first.spec.task, Error::kNoWorker});
   const StartTask second = harness.TakeStart();
   BOOST_TEST(second.worker != first.worker);
   harness.EndTask(second);
@@ -91,14 +90,14 @@
   harness.SendRequest("booking");
   const StartTask start = harness.TakeStart();
   harness.Send(
-      TaskUncertain{start.worker, start.order.task, Error::kAnswerIncomplete});
+      TaskUncertain{start.worker, start.spec.task, Error::kAnswerIncomplete});
   const auto queries = harness.Take<QueryTask>();
   BOOST_TEST_REQUIRE(queries.size() == 1U);
   TaskQueried answer;
   answer.worker = start.worker;
-  answer.task = start.order.task;
+  answer.task = start.spec.task;
   answer.state = TaskQueried::State::kEnded;
-  answer.ended.task = start.order.task;
+  answer.ended.task = start.spec.task;
   answer.ended.status = 201;
   harness.Send(answer);
   const Reply reply = harness.TakeReply();
@@ -114,10 +113,10 @@
   harness.SendRequest("booking");
   const StartTask start = harness.TakeStart();
   harness.Send(
-      TaskUncertain{start.worker, start.order.task, Error::kAnswerIncomplete});
+      TaskUncertain{start.worker, start.spec.task, Error::kAnswerIncomplete});
   TaskQueried answer;
   answer.worker = start.worker;
-  answer.task = start.order.task;
+  answer.task = start.spec.task;
   answer.state = TaskQueried::State::kUnreachable;
   harness.Send(answer);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
@@ -133,7 +132,7 @@
   harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Send(
-      TaskUncertain{start.worker, start.order.task, Error::kAnswerIncomplete});
+      TaskUncertain{start.worker, start.spec.task, Error::kAnswerIncomplete});
   for (int i = 0; i < 20; ++i) {
     for (const QueryTask& query : harness.Take<QueryTask>()) {
       TaskQueried answer;
@@ -157,7 +156,7 @@
   BOOST_TEST((reply.answer.error == Error::kDeadlineExceeded));
   const auto stops = harness.Take<StopTask>();
   BOOST_TEST_REQUIRE(!stops.empty());
-  BOOST_TEST(stops.front().task == start.order.task);
+  BOOST_TEST(stops.front().task == start.spec.task);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_can_not_be_placed_is_refused_in_time) {
@@ -179,8 +178,8 @@
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   for (const StartTask& start : starts) {
-    BOOST_TEST(start.order.detached);
-    harness.Send(TaskStarted{start.worker, start.order.task});
+    BOOST_TEST(start.spec.detached);
+    harness.Send(TaskStarted{start.worker, start.spec.task});
   }
   harness.EndTask(starts[0]);
   BOOST_TEST(harness.Take<Reply>().empty());
@@ -195,18 +194,18 @@
   harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
-  harness.Send(TaskStarted{starts[0].worker, starts[0].order.task});
+  harness.Send(TaskStarted{starts[0].worker, starts[0].spec.task});
   harness.Send(
-      TaskNotStarted{starts[1].worker, starts[1].order.task, Error::kNoWorker});
+      TaskNotStarted{starts[1].worker, starts[1].spec.task, Error::kNoWorker});
   const auto stops = harness.Take<StopTask>();
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  BOOST_TEST(stops.front().task == starts[0].order.task);
+  BOOST_TEST(stops.front().task == starts[0].spec.task);
   BOOST_TEST(harness.Take<StartTask>().empty());
   harness.Send(
       TaskStopAnswered{stops.front().worker, stops.front().task, true});
   const auto again = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(again.size() == 2U);
-  BOOST_TEST(again[0].order.task != starts[0].order.task);
+  BOOST_TEST(again[0].spec.task != starts[0].spec.task);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/worker/src/messages.cc
+++ b/packages/worker/src/messages.cc
@@ -217,23 +217,23 @@
 }
 
 http::HttpRequest StartRequest(const Sender& sender, const StartTask& action) {
-  const TaskOrder& order = action.order;
+  const TaskSpec& spec = action.spec;
   http::HttpRequest request;
   request.method = "POST";
-  request.path = TaskPath(order.task);
+  request.path = TaskPath(spec.task);
   request.content_type = "application/octet-stream";
-  request.body = View(order.body);
+  request.body = View(spec.body);
   request.headers = {
       {"Mustardproxy-Holder", sender.process.Text()},
       {"Mustardproxy-Epoch", std::to_string(action.epoch)},
-      {"Mustardproxy-Request-Id", order.request.Text()},
-      {"Mustardproxy-Service", order.service.Text()},
-      {"Mustardproxy-Resources", FormatResources(order.resources)},
+      {"Mustardproxy-Request-Id", spec.request.Text()},
+      {"Mustardproxy-Service", spec.service.Text()},
+      {"Mustardproxy-Resources", FormatResources(spec.resources)},
       {"Mustardproxy-Max-Run-Ms",
-       std::to_string(WholeMilliseconds(order.max_run))},
+       std::to_string(WholeMilliseconds(spec.max_run))},
       {"Mustardproxy-Task-Lease-Ms",
        std::to_string(WholeMilliseconds(sender.task_lease))},
-      {"Mustardproxy-Detached", order.detached ? "1" : "0"},
+      {"Mustardproxy-Detached", spec.detached ? "1" : "0"},
   };
   return request;
 }
@@ -264,7 +264,7 @@
   // Failure: an answer that was crossed with another, or changed on its way.
   // It shows as another task's id, or as a body that is not the hashed one.
   const bool ours =
-      header.get("Mustardproxy-Task-Id", "") == action.order.task.Text();
+      header.get("Mustardproxy-Task-Id", "") == action.spec.task.Text();
   const bool whole =
       header.get("Mustardproxy-Body-Hash", "") == BodyHash(answer.body);
   if (!ours || !whole || !end) return make_error_code(Error::kAnswerIncomplete);
@@ -277,8 +277,8 @@
   } catch (const Poco::Exception&) {
     return make_error_code(Error::kAnswerIncomplete);
   }
-  ended.task = action.order.task;
-  ended.request = action.order.request;
+  ended.task = action.spec.task;
+  ended.request = action.spec.request;
   ended.end = *end;
   ended.status = answer.Status();
   ended.content_type = header.getContentType();
--- a/packages/worker/src/start_calls.cc
+++ b/packages/worker/src/start_calls.cc
@@ -58,7 +58,7 @@
     const Error reason = this->in_flight.Closed() ? Error::kShuttingDown
                                                   : Error::kTooManyConnections;
     this->options.sink->Post(
-        TaskNotStarted{action.worker, action.order.task, reason});
+        TaskNotStarted{action.worker, action.spec.task, reason});
     return;
   }
   const auto call = std::make_shared<StartCall>();
@@ -140,7 +140,7 @@
 
 void StartCalls::Judge(const StartCallPtr& call,
                        const http::HttpReply& answer) {
-  const TaskId& task = call->action.order.task;
+  const TaskId& task = call->action.spec.task;
   std::unique_ptr<http::ClientConnection> connection =
       std::move(call->connection);
   if (const auto refusal = RefusalIn(answer)) {
@@ -152,7 +152,7 @@
     this->JudgeRefusal(call, *refusal);
     return;
   }
-  if (call->action.order.detached) {
+  if (call->action.spec.detached) {
     const std::string id =
         answer.header.get("Mustardproxy-Task-Id", task.Text());
     if (answer.Status() != kAccepted || id != task.Text()) {
@@ -220,7 +220,7 @@
 void StartCalls::Probe(const StartCallPtr& call) {
   if (call->settled) return;
   const auto state =
-      this->control->QueryAnew(call->action.address, call->action.order.task);
+      this->control->QueryAnew(call->action.address, call->action.spec.task);
   if (!state) {
     this->RemindLater(call);
     return;
@@ -230,7 +230,7 @@
 
 void StartCalls::JudgeState(const StartCallPtr& call, const TaskState& state) {
   const bool running = state.state == TaskQueried::State::kRunning;
-  if (running && !call->action.order.detached) {
+  if (running && !call->action.spec.detached) {
     // The old connection may be well and the task long; both ways are kept.
     this->RemindLater(call);
     return;
@@ -250,17 +250,17 @@
 }
 
 void StartCalls::NotStarted(const StartCallPtr& call, std::error_code reason) {
-  this->Settle(call, TaskNotStarted{call->action.worker,
-                                    call->action.order.task, reason});
+  this->Settle(call, TaskNotStarted{call->action.worker, call->action.spec.task,
+                                    reason});
 }
 
 void StartCalls::Uncertain(const StartCallPtr& call, std::error_code reason) {
-  this->Settle(call, TaskUncertain{call->action.worker, call->action.order.task,
-                                   reason});
+  this->Settle(
+      call, TaskUncertain{call->action.worker, call->action.spec.task, reason});
 }
 
 void StartCalls::Started(const StartCallPtr& call) {
-  this->Settle(call, TaskStarted{call->action.worker, call->action.order.task});
+  this->Settle(call, TaskStarted{call->action.worker, call->action.spec.task});
 }
 
 // Failure guarded against: an end is left out of renewals that the core was
--- a/packages/worker/tests/control_calls_test.cc
+++ b/packages/worker/tests/control_calls_test.cc
@@ -59,7 +59,7 @@
 BOOST_AUTO_TEST_CASE(a_detached_task_s_end_comes_with_a_renewal) {
   Attach();
   StartTask start = StartOrder("r/0/1", "echo");
-  start.order.detached = true;
+  start.spec.detached = true;
   link->Perform(start);
   BOOST_TEST(events.Next<TaskStarted>().task.Text() == "r/0/1");
   link->Perform(RenewOrder(*this, 0));
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(a_report_names_what_runs) {
   Attach();
   StartTask start = StartOrder("r/0/1", R"({"run_ms": 60000})");
-  start.order.detached = true;
+  start.spec.detached = true;
   link->Perform(start);
   events.Next<TaskStarted>();
   const WorkerReport report = Attach();
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_CASE(a_stop_tells_whether_the_task_had_ended) {
   Attach();
   StartTask start = StartOrder("r/0/1", R"({"run_ms": 60000})");
-  start.order.detached = true;
+  start.spec.detached = true;
   link->Perform(start);
   events.Next<TaskStarted>();
   const StopTask stop{WorkerId("worker"), address, 1, TaskId("r/0/1"), true};
--- a/packages/worker/tests/link_fixture.h
+++ b/packages/worker/tests/link_fixture.h
@@ -53,12 +53,12 @@
     start.address = this->address;
     start.epoch = 1;
     start.timeout = kTimeout;
-    start.order.task = TaskId(task);
-    start.order.request = RequestId("request-of-" + task);
-    start.order.service = ServiceId("service");
-    start.order.resources = {100, 100, 0, 1};
-    start.order.max_run = std::chrono::seconds(60);
-    start.order.body = std::make_shared<const std::string>(body);
+    start.spec.task = TaskId(task);
+    start.spec.request = RequestId("request-of-" + task);
+    start.spec.service = ServiceId("service");
+    start.spec.resources = {100, 100, 0, 1};
+    start.spec.max_run = std::chrono::seconds(60);
+    start.spec.body = std::make_shared<const std::string>(body);
     return start;
   }
 
--- a/packages/worker/tests/received_ends_test.cc
+++ b/packages/worker/tests/received_ends_test.cc
@@ -24,7 +24,7 @@
 
   void RunDetached(const std::string& task) {
     StartTask start = this->StartOrder(task, "answer of " + task);
-    start.order.detached = true;
+    start.spec.detached = true;
     this->link->Perform(start);
     this->events.Next<TaskStarted>();
   }
@@ -123,7 +123,7 @@
   Attach(2);
   StartTask start = StartOrder("r/0/2", "answer of r/0/2");
   start.epoch = 2;
-  start.order.detached = true;
+  start.spec.detached = true;
   link->Perform(start);
   events.Next<TaskStarted>();
   const std::vector<EndedTask> ended = Renew(2);
--- a/packages/worker/tests/silent_connection_test.cc
+++ b/packages/worker/tests/silent_connection_test.cc
@@ -79,10 +79,10 @@
   Attach();
   relay.SilenceOpen();
   StartTask start = StartOrder("r/0/1", "x");
-  start.order.detached = true;
+  start.spec.detached = true;
   link->Perform(start);
   events.Next<TaskNotStarted>();
-  start.order.task = TaskId("r/0/2");
+  start.spec.task = TaskId("r/0/2");
   link->Perform(start);
   events.Next<TaskStarted>();
   BOOST_TEST(CountInLog("start", "r/0/1") == 0);
--- a/packages/worker/tests/start_outcomes_test.cc
+++ b/packages/worker/tests/start_outcomes_test.cc
@@ -128,7 +128,7 @@
 BOOST_AUTO_TEST_CASE(a_start_past_the_capacity_is_not_started) {
   Attach();
   StartTask start = StartOrder("r/0/1", "x");
-  start.order.resources.cpu_milli = 5000;
+  start.spec.resources.cpu_milli = 5000;
   link->Perform(start);
   BOOST_TEST((events.Next<TaskNotStarted>().reason == Error::kNoWorker));
   BOOST_TEST(CountInLog("overcommit-refused", "r/0/1") == 1);
--- a/testing/bench_worker/bench_worker.cc
+++ b/testing/bench_worker/bench_worker.cc
@@ -115,8 +115,8 @@
   start.worker = WorkerId("worker");
   start.epoch = kEpoch;
   start.timeout = seconds(30);
-  start.order.resources = {1, 1, 0, 1};
-  start.order.body = std::make_shared<const std::string>(plan.body_bytes, 'b');
+  start.spec.resources = {1, 1, 0, 1};
+  start.spec.body = std::make_shared<const std::string>(plan.body_bytes, 'b');
   const double processor = ProcessorSeconds();
   const Instant begin = SteadyNow();
   std::int64_t sent = 0;
@@ -125,10 +125,10 @@
     start.address = plan.addresses[sent % plan.addresses.size()];
     // Workers are told apart by id, for their number of connections.
     start.worker = WorkerId(start.address);
-    start.order.task =
+    start.spec.task =
         TaskId("bench/" + std::to_string(begin.time_since_epoch().count()) +
                "/" + std::to_string(sent));
-    results.Begun(start.order.task);
+    results.Begun(start.spec.task);
     link->Perform(start);
     ++sent;
   }
--- a/testing/fault_matrix/src/entry_worker_calls.cc
+++ b/testing/fault_matrix/src/entry_worker_calls.cc
@@ -82,15 +82,15 @@
       this->simulation->Now() - leaving->second > kLeavingGrace) {
     this->around->promises->OnStartAtLeaving(action.worker);
   }
-  const TaskId task = action.order.task;
+  const TaskId task = action.spec.task;
   Call call;
   call.from = this;
   call.to = worker;
   call.step =
-      action.order.detached ? Step::kStartDetached : Step::kStartAttached;
+      action.spec.detached ? Step::kStartDetached : Step::kStartAttached;
   call.timeout = action.timeout;
   call.work = [this, worker, action](const Respond& respond) {
-    const TaskScript script = this->around->script(action.order.request);
+    const TaskScript script = this->around->script(action.spec.request);
     worker->StartTaskHere(action, script, [this, respond](const Event& event) {
       respond([this, event] { this->Handle(event); });
     });
@@ -107,12 +107,12 @@
 
 void EntryProcess::WatchRun(const StartTask& action, ModelWorker* worker,
                             Duration run) {
-  const TaskId& task = action.order.task;
+  const TaskId& task = action.spec.task;
   if (!worker->Runs(task)) {
     return;
   }
   const Step step =
-      action.order.detached ? Step::kDetachedTaskRuns : Step::kTaskRuns;
+      action.spec.detached ? Step::kDetachedTaskRuns : Step::kTaskRuns;
   const Duration pause =
       this->simulation->Draw(Duration{1}, std::min(run, kLatestMoment));
   this->simulation->After(pause, [this, task, worker, step] {
--- a/testing/fault_matrix/src/model_worker.cc
+++ b/testing/fault_matrix/src/model_worker.cc
@@ -160,35 +160,35 @@
 void ModelWorker::StartTaskHere(const StartTask& call, const TaskScript& script,
                                 std::function<void(Event)> answer) {
   this->Lapse();
-  const TaskOrder& order = call.order;
+  const TaskSpec& spec = call.spec;
   if (!this->Accepts(call.epoch)) {
-    answer(TaskNotStarted{call.worker, order.task, Error::kStaleEpoch});
+    answer(TaskNotStarted{call.worker, spec.task, Error::kStaleEpoch});
     return;
   }
-  if (!this->seen.insert(order.task).second) {
-    answer(TaskNotStarted{call.worker, order.task, Error::kConflict});
+  if (!this->seen.insert(spec.task).second) {
+    answer(TaskNotStarted{call.worker, spec.task, Error::kConflict});
     return;
   }
   const Instant now = this->simulation->Now();
   this->lease_until = now + this->lease;
   Task task;
-  task.about = {order.task, order.request, order.service, order.resources, {}};
+  task.about = {spec.task, spec.request, spec.service, spec.resources, {}};
   task.started = now;
   task.ends = now + script.run;
-  task.stop_by = now + order.max_run;
+  task.stop_by = now + spec.max_run;
   task.lease_until = now + kTaskLease;
   task.status = now < this->fails_until ? kFailedStatus : script.status;
   if (task.status >= kFailedStatus) {
     task.ends = now + Duration(1);
   }
-  if (order.detached) {
-    answer(TaskStarted{call.worker, order.task});
+  if (spec.detached) {
+    answer(TaskStarted{call.worker, spec.task});
   } else {
     task.answer = std::move(answer);
   }
-  this->promises->OnRun(this->description.id, order.task, order.request);
+  this->promises->OnRun(this->description.id, spec.task, spec.request);
   const Instant first_check = std::min(task.ends, task.lease_until);
-  this->tasks.emplace(order.task, std::move(task));
+  this->tasks.emplace(spec.task, std::move(task));
   this->promises->OnLoad(this->description.id, this->Used(), this->capacity);
   this->CheckAt(first_check);
 }
