--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -114,7 +114,7 @@
 }
 
 void Ownership::State::MarkLost(Instant now, Lease* lease) {
-  lease->attach_not_before = std::max(lease->attach_not_before, now);
+  lease->call_not_before = std::max(lease->call_not_before, now);
   lease->active = false;
   this->SetPhase(lease, LeasePhase::kNone);
 }
@@ -247,10 +247,10 @@
   // lease runs out, and its successor, refused once before that, would leave
   // them idle for the rest of the lease. So a long lease is asked about again.
   const Duration wait = std::min(refused.lease_left, kEarlyReleaseInterval);
-  lease->attach_not_before = now + wait + (free && first ? Duration(0) : pause);
+  lease->call_not_before = now + wait + (free && first ? Duration(0) : pause);
   // A worker that has an owner after all is left alone.
   if (!free && !all.Preferred(*lease)) {
-    lease->attach_not_before = now + OrphanDetector::kAttachWindow;
+    lease->call_not_before = now + OrphanDetector::kAttachWindow;
   }
   if (had) {
     all.MarkLost(now, lease);
@@ -275,7 +275,7 @@
   ++lease->unreachable;
   const Duration most = all.options.max_unreachable_interval;
   const Duration pause = all.RetryDelay(lease->unreachable - 1, most);
-  lease->attach_not_before = std::max(lease->attach_not_before, now + pause);
+  lease->call_not_before = std::max(lease->call_not_before, now + pause);
   // Nothing that reached the worker before the silence can have kept its lease
   // in force for longer than this. One lost call is no loss: starts renew the
   // lease too, and an idle one may have lapsed long ago without harm.
--- a/packages/core/src/ownership_plan.cc
+++ b/packages/core/src/ownership_plan.cc
@@ -60,7 +60,7 @@
     // What was learnt of the former preferred owner does not hold for this one.
     lease.substitute = false;
     lease.hand_back_delay = Duration(0);
-    lease.attach_not_before = std::min(lease.attach_not_before, now);
+    lease.call_not_before = std::min(lease.call_not_before, now);
   }
 }
 
@@ -143,7 +143,7 @@
 std::optional<Instant> Ownership::State::AttachDue(Instant now,
                                                    const Lease& lease) const {
   if (this->stopped || lease.drained) return std::nullopt;
-  if (this->Preferred(lease)) return lease.attach_not_before;
+  if (this->Preferred(lease)) return lease.call_not_before;
   const auto rack = this->racks.find(lease.description.rack);
   if (rack == this->racks.end()) return std::nullopt;
   const std::optional<Instant> window_start =
@@ -162,7 +162,7 @@
       this->members, [worker, own](const ProcessId& member) {
         return detail::RendezvousWeight(worker, member.Text()) > own;
       });
-  return std::max(lease.attach_not_before,
+  return std::max(lease.call_not_before,
                   window_start + kAttachStagger * before);
 }
 
@@ -201,7 +201,7 @@
 }
 
 Instant Ownership::State::RenewalDue(Instant now, const Lease& lease) const {
-  if (lease.unreachable > 0) return lease.attach_not_before;
+  if (lease.unreachable > 0) return lease.call_not_before;
   const Duration longest = this->LongestRenewalInterval(now, lease);
   const Duration interval = std::min(lease.interval, longest);
   // Answered starts renew the lease, so no heartbeat is needed while they come;
@@ -235,7 +235,7 @@
   lease->in_flight = false;
   if (!lease->oldest_unresolved) lease->oldest_unresolved = lease->sent;
   if (lease->phase == LeasePhase::kOwned) return;
-  lease->attach_not_before = now;
+  lease->call_not_before = now;
   this->SetPhase(lease, LeasePhase::kNone);
 }
 
@@ -273,7 +273,7 @@
 
 void Ownership::State::Release(Instant now, Lease* lease, Actions* actions) {
   if (lease->substitute) {
-    lease->attach_not_before = now + OrphanDetector::kDetectionDelay;
+    lease->call_not_before = now + OrphanDetector::kDetectionDelay;
   }
   lease->drained = this->Drained(*lease);
   this->SetPhase(lease, LeasePhase::kReleasing);
--- a/packages/core/src/ownership_state.h
+++ b/packages/core/src/ownership_state.h
@@ -47,7 +47,7 @@
   /// Attaches refused in a row.
   std::int32_t refusals = 0;
   /// No attach before.
-  Instant attach_not_before;
+  Instant call_not_before;
 
   /// Interval of renewals; grows while they bring nothing new.
   Duration interval{0};
