--- a/packages/core/tests/deferred_store_recovery_test.cc
+++ b/packages/core/tests/deferred_store_recovery_test.cc
@@ -76,7 +76,7 @@
 // An entry process dies with four pieces of deferred work in its journal. Its
 // peer adopts the journal: what has ended must not run again, the rest must be
 // found with the workers that may be running it.
-BOOST_AUTO_TEST_CASE(unfinished_work_comes_back_in_order_of_acceptance) {
+BOOST_AUTO_TEST_CASE(recovery_returns_unfinished_work_in_order_of_acceptance) {
   DeferredStore store;
   const auto batches = Batches(
       {Accepted("z"), Accepted("b"), Accepted("a"), Accepted("c"),
@@ -94,7 +94,7 @@
   BOOST_TEST(store.UnfinishedCount(kJournal) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(applying_everything_again_changes_nothing) {
+BOOST_AUTO_TEST_CASE(applying_records_twice_has_no_further_effect) {
   DeferredStore store;
   const auto batches =
       Batches({Accepted("a"), Accepted("b"), Started("b", 0, 1),
@@ -117,7 +117,7 @@
 // A review runs a second time after its process died. The end was pending when
 // the owner took a snapshot, so the journal holds the end first and then the
 // snapshot's acceptance; the batch with the first acceptance is trimmed.
-BOOST_AUTO_TEST_CASE(an_end_ahead_of_a_snapshot_is_not_forgotten) {
+BOOST_AUTO_TEST_CASE(an_end_recorded_before_a_snapshot_is_kept) {
   DeferredStore store;
   const auto batches =
       Batches({Finished("a"), Accepted("a"), Started("a", 0, 1)});
@@ -127,7 +127,7 @@
   BOOST_TEST(store.Bytes() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(the_first_end_stands) {
+BOOST_AUTO_TEST_CASE(the_first_recorded_end_is_kept) {
   DeferredStore store;
   store.Apply(kStart, kJournal, Accepted("a"));
   store.Apply(kStart, kJournal, CancelledRecord{RequestId("a"), false});
--- a/packages/core/tests/journal_failure_test.cc
+++ b/packages/core/tests/journal_failure_test.cc
@@ -60,7 +60,7 @@
   BOOST_TEST(TickOne(&journal, kStart + 300ms).sequence == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(each_batch_has_another_id) {
+BOOST_AUTO_TEST_CASE(each_batch_has_a_different_id) {
   Journal journal(JournalId("p1.a"), 1, JournalOptions{}, 7);
   BOOST_TEST(journal.Append(Record("p1.a.1")) == 1U);
   const JournalBatch first = TickOne(&journal, kStart);
@@ -71,7 +71,7 @@
 
 // The platform is away for a minute. Repeats must stay within the rate, and the
 // age of the oldest record must show the outage.
-BOOST_AUTO_TEST_CASE(repeats_in_an_outage_stay_within_the_rate) {
+BOOST_AUTO_TEST_CASE(retries_in_an_outage_stay_within_the_rate) {
   JournalOptions options;
   options.appends_per_second = 2;
   options.burst = 1;
@@ -93,7 +93,7 @@
 // An owner was paused for long and its journal adopted by a peer. When it goes
 // on, its append finds the adopter's record. It must tell no caller that
 // anything pending is durable, and take nothing more.
-BOOST_AUTO_TEST_CASE(a_fenced_journal_takes_nothing_more) {
+BOOST_AUTO_TEST_CASE(a_fenced_journal_accepts_no_records) {
   Journal journal(JournalId("p1.a"), 5, JournalOptions{}, 7);
   BOOST_TEST(journal.LastSequence() == 4U);
   BOOST_TEST(journal.Append(Record("p1.a.1")) == 1U);
@@ -112,7 +112,7 @@
 
 // The report of an earlier append comes a second time. It must not make the
 // records of the batch that is in flight now durable.
-BOOST_AUTO_TEST_CASE(a_report_that_comes_twice_changes_nothing) {
+BOOST_AUTO_TEST_CASE(a_duplicate_report_has_no_effect) {
   Journal journal(JournalId("p1.a"), 1, JournalOptions{}, 7);
   BOOST_TEST(journal.Append(Record("p1.a.1")) == 1U);
   TickOne(&journal, kStart);
--- a/packages/core/tests/journal_pacing_test.cc
+++ b/packages/core/tests/journal_pacing_test.cc
@@ -40,7 +40,7 @@
 
 BOOST_AUTO_TEST_SUITE(journal_pacing)
 
-BOOST_AUTO_TEST_CASE(a_record_goes_out_at_once_at_low_load) {
+BOOST_AUTO_TEST_CASE(a_record_is_sent_immediately_at_low_load) {
   Journal journal = MakeJournal();
   BOOST_TEST(journal.Append(Accepted(10)) == 1U);
   BOOST_TEST((journal.NextWakeup() <= kStart));
@@ -52,7 +52,7 @@
   BOOST_TEST(journal.LastSequence() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(records_gather_while_an_append_is_in_flight) {
+BOOST_AUTO_TEST_CASE(records_are_batched_while_an_append_is_in_flight) {
   Journal journal = MakeJournal();
   Actions actions;
   BOOST_TEST(journal.Append(Accepted(10)) == 1U);
@@ -92,7 +92,7 @@
   BOOST_TEST(sent == 204U);
 }
 
-BOOST_AUTO_TEST_CASE(the_wakeup_is_when_the_next_token_comes) {
+BOOST_AUTO_TEST_CASE(the_wakeup_is_when_the_next_token_is_available) {
   JournalOptions options;
   options.appends_per_second = 3;
   options.burst = 1;
@@ -111,7 +111,7 @@
   BOOST_TEST(OnlyAppend(actions).batch.sequence == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_batch_keeps_both_limits) {
+BOOST_AUTO_TEST_CASE(a_batch_respects_both_limits) {
   JournalOptions options;
   options.max_batch_bytes = 3000;
   options.max_batch_records = 4;
--- a/packages/core/tests/membership_basic_test.cc
+++ b/packages/core/tests/membership_basic_test.cc
@@ -19,7 +19,7 @@
 namespace {
 
 const DataCenterId kHome("mazowsze-1");
-const DataCenterId kAway("mazowsze-2");
+const DataCenterId kRemoteDataCenter("mazowsze-2");
 
 PeerDescription Describe(const char* name, const DataCenterId& data_center) {
   return {ProcessId(name), data_center};
@@ -34,10 +34,11 @@
 }
 
 Membership TwoDataCenters() {
-  return Membership(Describe("a", kHome),
-                    {Describe("b", kHome), Describe("c", kHome),
-                     Describe("x", kAway), Describe("y", kAway)},
-                    MembershipOptions());
+  return Membership(
+      Describe("a", kHome),
+      {Describe("b", kHome), Describe("c", kHome),
+       Describe("x", kRemoteDataCenter), Describe("y", kRemoteDataCenter)},
+      MembershipOptions());
 }
 
 std::set<ProcessId> Receivers(const Actions& actions) {
@@ -62,11 +63,12 @@
   BOOST_TEST(receivers.contains(ProcessId("c")));
 }
 
-BOOST_AUTO_TEST_CASE(only_local_members_that_answer_and_stay_own_workers) {
+BOOST_AUTO_TEST_CASE(only_live_local_members_that_are_not_stopping_are_listed) {
   Membership membership = TwoDataCenters();
   BOOST_TEST(membership.OnDigest(Instant(1s), DigestOf("b", kHome)));
   BOOST_TEST(!membership.OnDigest(Instant(1s), DigestOf("b", kHome)));
-  BOOST_TEST(membership.OnDigest(Instant(1s), DigestOf("x", kAway)));
+  BOOST_TEST(
+      membership.OnDigest(Instant(1s), DigestOf("x", kRemoteDataCenter)));
   Digest stopping = DigestOf("c", kHome);
   stopping.stopping = true;
   BOOST_TEST(membership.OnDigest(Instant(1s), stopping));
@@ -92,7 +94,7 @@
   BOOST_TEST(owners.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_member_is_lost_once) {
+BOOST_AUTO_TEST_CASE(a_silent_member_is_reported_lost_once) {
   Membership membership(Describe("a", kHome), {Describe("b", kHome)}, {});
   BOOST_TEST(membership.OnDigest(Instant(1s), DigestOf("b", kHome)));
   Actions actions;
@@ -110,18 +112,18 @@
   BOOST_TEST(membership.OnDigest(Instant(7s), DigestOf("b", kHome)));
 }
 
-BOOST_AUTO_TEST_CASE(journals_are_found_at_whoever_writes_them) {
+BOOST_AUTO_TEST_CASE(the_holder_of_a_journal_is_found_by_its_digest) {
   Membership membership = TwoDataCenters();
-  Digest digest = DigestOf("x", kAway);
+  Digest digest = DigestOf("x", kRemoteDataCenter);
   digest.journals = {JournalId("x.1"), JournalId("z.4")};
   BOOST_TEST(membership.OnDigest(Instant(1s), digest));
   BOOST_TEST((membership.JournalHolder(JournalId("z.4")) == ProcessId("x")));
   BOOST_TEST(!membership.JournalHolder(JournalId("z.5")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_newest_configuration_is_fetched_from_near_by) {
+BOOST_AUTO_TEST_CASE(the_newest_configuration_is_fetched_from_a_local_peer) {
   Membership membership = TwoDataCenters();
-  Digest remote = DigestOf("x", kAway);
+  Digest remote = DigestOf("x", kRemoteDataCenter);
   remote.configuration_version = 8;
   Digest local = DigestOf("c", kHome);
   local.configuration_version = 8;
--- a/packages/core/tests/membership_failure_test.cc
+++ b/packages/core/tests/membership_failure_test.cc
@@ -30,7 +30,7 @@
   return digest;
 }
 
-Membership ThreeMembers(const char* self) {
+Membership MembershipOfThree(const char* self) {
   std::vector<PeerDescription> peers;
   for (const char* name : {"a", "b", "c"}) {
     peers.push_back({ProcessId(name), kHome});
@@ -39,30 +39,30 @@
 }
 
 /// Which of three members keep the watch, by the views of each.
-std::string Keepers(const std::vector<Digest>& digests) {
-  std::string keepers;
+std::string ConfigurationWatchers(const std::vector<Digest>& digests) {
+  std::string watchers;
   for (const Digest& self : digests) {
-    Membership membership = ThreeMembers(self.process.Text().c_str());
+    Membership membership = MembershipOfThree(self.process.Text().c_str());
     for (const Digest& digest : digests) {
       (void)membership.OnDigest(Instant(1s), digest);
     }
     Actions actions;
     membership.Tick(Instant(1s), self, &actions);
-    if (membership.IsConfigurationWatcher()) keepers += self.process.Text();
+    if (membership.IsConfigurationWatcher()) watchers += self.process.Text();
   }
-  return keepers;
+  return watchers;
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(membership_failure)
 
-BOOST_AUTO_TEST_CASE(a_restart_shows_and_late_news_of_the_former_run_does_not) {
+BOOST_AUTO_TEST_CASE(a_restart_is_detected_and_late_digests_are_ignored) {
   // Story: a process crashes and comes back under its name. A heartbeat of its
   // former run, held up on the way, arrives after the first one of the new run.
   // Were it believed, its orphaned journal would seem to be held by a live
   // process, and the deferred work in it would never be adopted.
-  Membership membership = ThreeMembers("a");
+  Membership membership = MembershipOfThree("a");
   Digest former = DigestOf("b");
   former.journals = {JournalId("b.1")};
   Digest present = DigestOf("b");
@@ -76,27 +76,27 @@
   BOOST_TEST(!membership.OnDigest(Instant(4s), present));
 }
 
-BOOST_AUTO_TEST_CASE(one_member_keeps_the_watch_and_the_next_one_takes_it) {
+BOOST_AUTO_TEST_CASE(one_member_watches_and_another_takes_over) {
   // Story: the member that watches the configuration loses its way to the
   // platform, and only it. An operator's change would not reach this data
   // centre although two members could read it.
   const std::vector<Digest> healthy{DigestOf("a"), DigestOf("b"),
                                     DigestOf("c")};
-  BOOST_TEST(Keepers(healthy) == "a");
+  BOOST_TEST(ConfigurationWatchers(healthy) == "a");
   const std::vector<Digest> first_cut{DigestOf("a", false), DigestOf("b"),
                                       DigestOf("c")};
-  BOOST_TEST(Keepers(first_cut) == "b");
+  BOOST_TEST(ConfigurationWatchers(first_cut) == "b");
   // In an outage for all, one goes on trying and not all three.
   const std::vector<Digest> outage{DigestOf("a", false), DigestOf("b", false),
                                    DigestOf("c", false)};
-  BOOST_TEST(Keepers(outage) == "a");
+  BOOST_TEST(ConfigurationWatchers(outage) == "a");
 }
 
-BOOST_AUTO_TEST_CASE(a_crashed_process_is_found_by_its_refused_connections) {
+BOOST_AUTO_TEST_CASE(a_crashed_process_is_detected_by_refused_connections) {
   // Story: an entry process crashes. Its host answers each heartbeat with a
   // refused connection, at once. The workers it owned are idle until its peers
   // have noticed.
-  Membership membership = ThreeMembers("a");
+  Membership membership = MembershipOfThree("a");
   (void)membership.OnDigest(Instant(1s), DigestOf("b"));
   (void)membership.OnDigest(Instant(1s), DigestOf("c"));
   Instant lost;
@@ -116,10 +116,10 @@
   BOOST_TEST(membership.Alive(ProcessId("c")));
 }
 
-BOOST_AUTO_TEST_CASE(one_lost_heartbeat_changes_nothing) {
+BOOST_AUTO_TEST_CASE(one_lost_heartbeat_has_no_effect) {
   // Story: a single heartbeat is dropped by the network. A member taken for
   // dead over it would have its workers attached by others.
-  Membership membership = ThreeMembers("a");
+  Membership membership = MembershipOfThree("a");
   (void)membership.OnDigest(Instant(1s), DigestOf("b"));
   (void)membership.OnDigest(Instant(1s), DigestOf("c"));
   std::int32_t sent = 0;
@@ -139,7 +139,7 @@
   BOOST_TEST(membership.LocalMembers().size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(news_that_must_spread_does_not_wait_for_the_heartbeat) {
+BOOST_AUTO_TEST_CASE(urgent_changes_do_not_wait_for_the_heartbeat) {
   // Story: an operator's change reaches one member of eight through its watch.
   // The others must have it within seconds, and quiet heartbeats are seconds
   // apart.
@@ -152,19 +152,19 @@
   Membership& membership = cell.At("a").membership;
   Digest changed = cell.At("a").OwnDigest();
   changed.configuration_version = 9;
-  std::set<ProcessId> told;
+  std::set<ProcessId> notified;
   for (std::int32_t i = 0; i < 30; ++i) {
     Actions actions;
     cell.now += 10ms;
     membership.Tick(cell.now, changed, &actions);
     for (const auto& action : actions) {
-      told.insert(std::get<SendDigest>(action).peer);
+      notified.insert(std::get<SendDigest>(action).peer);
     }
   }
-  BOOST_TEST(told.size() == 7U);
+  BOOST_TEST(notified.size() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(quiet_heartbeats_of_eight_members_stay_in_their_budget) {
+BOOST_AUTO_TEST_CASE(idle_heartbeats_of_eight_members_stay_in_their_budget) {
   // Story: heartbeats each 500 ms between 8 members take 4.5 KB a second of
   // each, more than all control messages together may.
   const std::vector<std::string> names{"a", "b", "c", "d", "e", "f", "g", "h"};
--- a/packages/core/tests/membership_forward_test.cc
+++ b/packages/core/tests/membership_forward_test.cc
@@ -18,11 +18,12 @@
 namespace {
 
 const DataCenterId kHome("addis-1");
-const DataCenterId kAway("addis-2");
+const DataCenterId kRemoteDataCenter("addis-2");
 const Resources kTask{1000, 1024, 0, 1};
 constexpr std::array kMembers{"a", "b", "c", "d", "e", "f", "g", "h"};
 
-Digest Room(const char* name, std::int64_t slots, std::int32_t queued = 0) {
+Digest DigestWithFreeSlots(const char* name, std::int64_t slots,
+                           std::int32_t queued = 0) {
   Digest digest;
   digest.process = ProcessId(name);
   digest.incarnation = 1;
@@ -34,17 +35,17 @@
   return digest;
 }
 
-Membership EightMembers(const char* self) {
+Membership MembershipOfEight(const char* self) {
   std::vector<PeerDescription> peers;
   peers.reserve(kMembers.size() + 1);
   for (const char* name : kMembers) peers.push_back({ProcessId(name), kHome});
-  peers.push_back({ProcessId("x"), kAway});
+  peers.push_back({ProcessId("x"), kRemoteDataCenter});
   return {{ProcessId(self), kHome}, peers, {}};
 }
 
-Digest FarRoom(std::int64_t slots) {
-  Digest digest = Room("x", slots);
-  digest.data_center = kAway;
+Digest RemoteDigest(std::int64_t slots) {
+  Digest digest = DigestWithFreeSlots("x", slots);
+  digest.data_center = kRemoteDataCenter;
   return digest;
 }
 
@@ -63,11 +64,11 @@
 
 BOOST_AUTO_TEST_SUITE(membership_forward)
 
-BOOST_AUTO_TEST_CASE(the_own_data_centre_goes_first) {
-  Membership membership = EightMembers("a");
+BOOST_AUTO_TEST_CASE(the_own_data_centre_is_preferred) {
+  Membership membership = MembershipOfEight("a");
   std::mt19937_64 random(1);
-  (void)membership.OnDigest(Instant(1s), FarRoom(800));
-  (void)membership.OnDigest(Instant(1s), Room("b", 2));
+  (void)membership.OnDigest(Instant(1s), RemoteDigest(800));
+  (void)membership.OnDigest(Instant(1s), DigestWithFreeSlots("b", 2));
   const auto choose = [&] {
     return membership.ChooseForwardTarget(Instant(1s), kTask, {}, random());
   };
@@ -76,24 +77,26 @@
   BOOST_TEST((choose() == ProcessId("x")));
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_stops_or_has_no_worker_for_it_gets_nothing) {
-  Membership membership = EightMembers("a");
-  Digest stopping = Room("b", 8);
+BOOST_AUTO_TEST_CASE(
+    a_stopping_peer_or_one_without_a_fitting_worker_is_not_chosen) {
+  Membership membership = MembershipOfEight("a");
+  Digest stopping = DigestWithFreeSlots("b", 8);
   stopping.stopping = true;
-  Digest scattered = Room("c", 8);
+  Digest scattered = DigestWithFreeSlots("c", 8);
   scattered.largest_free = {500, 512, 0, 1};
   (void)membership.OnDigest(Instant(1s), stopping);
   (void)membership.OnDigest(Instant(1s), scattered);
-  (void)membership.OnDigest(Instant(1s), Room("d", 0));
+  (void)membership.OnDigest(Instant(1s), DigestWithFreeSlots("d", 0));
   BOOST_TEST(
       !membership.ChooseForwardTarget(Instant(1s), kTask, {}, 7).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(the_busiest_of_several_is_never_chosen) {
-  Membership membership = EightMembers("a");
+  Membership membership = MembershipOfEight("a");
   std::int64_t slots = 100;
   for (const char* name : {"b", "c", "d", "e", "f"}) {
-    (void)membership.OnDigest(Instant(1s), Room(name, slots += 1000));
+    (void)membership.OnDigest(Instant(1s),
+                              DigestWithFreeSlots(name, slots += 1000));
   }
   std::mt19937_64 random(2);
   std::map<std::string, std::int32_t> chosen;
@@ -108,21 +111,21 @@
   BOOST_TEST(chosen["c"] > 0);
 }
 
-BOOST_AUTO_TEST_CASE(promises_count_until_a_digest_can_show_them) {
+BOOST_AUTO_TEST_CASE(reservations_count_until_a_digest_can_show_them) {
   // Story: a peer reports 4 free slots and gets 4 requests. Its next digest was
   // made just before they arrived and shows 4 free slots again. Believed, it
   // would draw 4 more, and these would wait there although others have room.
-  Membership membership = EightMembers("a");
+  Membership membership = MembershipOfEight("a");
   std::mt19937_64 random(3);
-  (void)membership.OnDigest(Instant(1s), Room("b", 4));
+  (void)membership.OnDigest(Instant(1s), DigestWithFreeSlots("b", 4));
   BOOST_TEST(ForwardAll(&membership, Instant(1s), &random) == 4);
-  (void)membership.OnDigest(Instant(1s + 10ms), Room("b", 4));
+  (void)membership.OnDigest(Instant(1s + 10ms), DigestWithFreeSlots("b", 4));
   BOOST_TEST(ForwardAll(&membership, Instant(1s + 10ms), &random) == 0);
-  (void)membership.OnDigest(Instant(2s), Room("b", 3));
+  (void)membership.OnDigest(Instant(2s), DigestWithFreeSlots("b", 3));
   BOOST_TEST(ForwardAll(&membership, Instant(2s), &random) == 3);
 }
 
-BOOST_AUTO_TEST_CASE(seven_full_members_do_not_flood_the_idle_one) {
+BOOST_AUTO_TEST_CASE(seven_full_members_do_not_overload_the_idle_one) {
   // Story: after a hand-over one member of eight is idle and the others have
   // queues. All seven see its 24 free slots in the same digest. Each sending 24
   // requests would bury it under 168, and their callers would wait behind each
@@ -132,14 +135,15 @@
     std::mt19937_64 random(4);
     for (const char* self : kMembers) {
       if (self == std::string("h")) continue;
-      Membership membership = EightMembers(self);
+      Membership membership = MembershipOfEight(self);
       for (const char* name : kMembers) {
         const bool idle = name == std::string("h");
         (void)membership.OnDigest(Instant(1s),
-                                  idle ? Room("h", slots) : Room(name, 0, 50));
+                                  idle ? DigestWithFreeSlots("h", slots)
+                                       : DigestWithFreeSlots(name, 0, 50));
       }
       Actions actions;
-      membership.Tick(Instant(1s), Room(self, 0, 50), &actions);
+      membership.Tick(Instant(1s), DigestWithFreeSlots(self, 0, 50), &actions);
       sent += ForwardAll(&membership, Instant(1s), &random);
     }
     BOOST_TEST_MESSAGE(slots << " slots drew " << sent);
@@ -148,23 +152,23 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_lone_full_member_may_use_all_of_an_idle_one) {
-  Membership membership = EightMembers("a");
+BOOST_AUTO_TEST_CASE(a_single_full_member_may_use_all_of_an_idle_one) {
+  Membership membership = MembershipOfEight("a");
   std::mt19937_64 random(5);
   for (const char* name : kMembers) {
-    (void)membership.OnDigest(Instant(1s), Room(name, 3));
+    (void)membership.OnDigest(Instant(1s), DigestWithFreeSlots(name, 3));
   }
   BOOST_TEST(ForwardAll(&membership, Instant(1s), &random) == 7 * 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_does_not_travel_back_and_forth) {
+BOOST_AUTO_TEST_CASE(a_request_is_not_forwarded_back_and_forth) {
   // Story: two members fill up at the same moment, each still holding an old
   // digest that shows room at the other. A request sent from a to b would be
   // sent back to a, and so on until its caller gives up.
-  Membership a = EightMembers("a");
-  Membership b = EightMembers("b");
-  (void)a.OnDigest(Instant(1s), Room("b", 1));
-  (void)b.OnDigest(Instant(1s), Room("a", 1));
+  Membership a = MembershipOfEight("a");
+  Membership b = MembershipOfEight("b");
+  (void)a.OnDigest(Instant(1s), DigestWithFreeSlots("b", 1));
+  (void)b.OnDigest(Instant(1s), DigestWithFreeSlots("a", 1));
   const auto first = a.ChooseForwardTarget(Instant(1s), kTask, {}, 11);
   BOOST_REQUIRE(first.has_value());
   BOOST_TEST(*first == ProcessId("b"));
--- a/packages/core/tests/ownership_basic_test.cc
+++ b/packages/core/tests/ownership_basic_test.cc
@@ -26,11 +26,11 @@
 const WorkerId kWorker("w1");
 
 /// One process alone in its data centre with one worker.
-struct Alone {
+struct SingleProcessCell {
   Membership membership{{ProcessId("a"), kHome}, {}, {}};
   Ownership ownership{OwnershipOptions(), 1};
 
-  Alone() { this->ListHosts(false); }
+  SingleProcessCell() { this->ListHosts(false); }
 
   std::vector<WorkerId> ListHosts(bool leaving) {
     const std::vector<WorkerDescription> hosts{
@@ -60,7 +60,7 @@
 BOOST_AUTO_TEST_SUITE(ownership_basic)
 
 BOOST_AUTO_TEST_CASE(attaches_with_epoch_one_to_workers_of_its_data_centre) {
-  Alone cell;
+  SingleProcessCell cell;
   const Actions actions = cell.Tick(Instant(1s));
   BOOST_REQUIRE(actions.size() == 1U);
   const auto& attach = std::get<AttachWorker>(actions[0]);
@@ -70,8 +70,8 @@
   BOOST_TEST(!cell.ownership.OwnedForStart(Instant(1s), kWorker).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_names_the_epoch_and_the_wait) {
-  Alone cell;
+BOOST_AUTO_TEST_CASE(a_refusal_sets_the_next_epoch_and_the_delay) {
+  SingleProcessCell cell;
   cell.Tick(Instant(1s));
   WorkerRefused refused{kWorker, 1, 41, ProcessId("z"), 2s};
   BOOST_TEST(!cell.ownership.OnRefused(Instant(1s), refused));
@@ -82,7 +82,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_owned_worker_is_renewed_when_idle_with_one_call_open) {
-  Alone cell;
+  SingleProcessCell cell;
   BOOST_TEST(cell.Attach(Instant(1s)));
   BOOST_TEST(cell.ownership.OwnedCount() == 1U);
   BOOST_TEST(cell.ownership.OwnedForStart(Instant(1s), kWorker)->epoch == 1U);
@@ -97,8 +97,8 @@
 // its reports name something that runs and nothing that ended. A short deferred
 // task starts among them; its end comes only with a renewal, and with renewals
 // stretched as for long runs its slot stays taken for seconds after it.
-BOOST_AUTO_TEST_CASE(renewals_stay_close_while_starts_are_sent) {
-  Alone cell;
+BOOST_AUTO_TEST_CASE(renewals_stay_frequent_while_starts_are_sent) {
+  SingleProcessCell cell;
   BOOST_TEST(cell.Attach(Instant(1s)));
   WorkerReport report;
   report.worker = kWorker;
@@ -122,7 +122,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_leaving_worker_is_kept_until_it_is_empty) {
-  Alone cell;
+  SingleProcessCell cell;
   BOOST_TEST(cell.Attach(Instant(1s)));
   const std::vector<WorkerId> leaving = cell.ListHosts(true);
   BOOST_REQUIRE(leaving.size() == 1U);
@@ -153,8 +153,8 @@
   BOOST_TEST(cell.ownership.OwnedCount() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_graceful_stop_releases_and_attaches_nothing) {
-  Alone cell;
+BOOST_AUTO_TEST_CASE(a_graceful_shutdown_releases_and_attaches_nothing) {
+  SingleProcessCell cell;
   BOOST_TEST(cell.Attach(Instant(1s)));
   Actions actions;
   cell.ownership.ReleaseAll(Instant(2s), &actions);
--- a/packages/core/tests/ownership_cell.h
+++ b/packages/core/tests/ownership_cell.h
@@ -149,7 +149,7 @@
   Sender sender;
   bool alive = true;
   bool paused = false;
-  bool places = false;
+  bool places_tasks = false;
   std::int32_t started = 0;
   std::int32_t calls = 0;
   std::int32_t heartbeats = 0;
@@ -219,7 +219,7 @@
       this->now += kStep;
       this->Deliver();
       for (auto& [name, process] : this->processes) {
-        if (process->alive && !process->paused) this->Drive(process.get());
+        if (process->alive && !process->paused) this->RunProcess(process.get());
       }
       if (each) each();
     }
@@ -275,7 +275,7 @@
     name.front() = 'w';
     return name;
   }
-  void Later(Duration delay, std::function<void()> event) {
+  void ScheduleEvent(Duration delay, std::function<void()> event) {
     this->queue.emplace(this->now + delay, std::move(event));
   }
   void Deliver() {
@@ -288,7 +288,7 @@
   [[nodiscard]] bool Linked(const std::string& a, const std::string& b) const {
     return !this->cuts.contains(a + b);
   }
-  static void Tell(ModelProcess* process, std::function<void()> event) {
+  static void DeliverTo(ModelProcess* process, std::function<void()> event) {
     if (!process->alive) return;
     if (process->paused) {
       process->inbox.push_back(std::move(event));
@@ -297,7 +297,7 @@
     }
   }
 
-  void Drive(ModelProcess* process) {
+  void RunProcess(ModelProcess* process) {
     Actions actions;
     const Digest digest = process->OwnDigest();
     if (process->membership.NextWakeup() <= this->now) {
@@ -306,7 +306,7 @@
     (void)process->membership.TakeLostPeers(this->now);
     process->ownership.Tick(this->now, process->membership, &actions);
     for (const Action& action : actions) this->Perform(process, action);
-    if (process->places) this->Place(process);
+    if (process->places_tasks) this->Place(process);
   }
 
   void Perform(ModelProcess* process, const Action& action) {
@@ -328,17 +328,17 @@
     const std::string from = process->sender.process.Text();
     const bool arrives = this->Linked(from, to) && this->processes.contains(to);
     if (!arrives || !this->At(to).alive || this->At(to).paused) {
-      return this->Later(kCallTimeout, [=, this] {
-        Tell(process, [=, this] {
+      return this->ScheduleEvent(kCallTimeout, [=, this] {
+        DeliverTo(process, [=, this] {
           process->membership.OnUnreachable(this->now, action.peer);
         });
       });
     }
-    this->Later(kLatency, [=, this] {
+    this->ScheduleEvent(kLatency, [=, this] {
       ModelProcess* peer = this->processes[to].get();
       (void)peer->membership.OnDigest(this->now, action.digest);
       const Digest answer = peer->OwnDigest();
-      Tell(process, [=, this] {
+      DeliverTo(process, [=, this] {
         (void)process->membership.OnDigest(this->now, answer);
       });
     });
@@ -391,19 +391,19 @@
     const bool reached =
         this->Linked(process->sender.process.Text(), worker.Text());
     if (!reached) {
-      return this->Later(kCallTimeout, [=, this] {
-        Tell(process, [=, this] {
+      return this->ScheduleEvent(kCallTimeout, [=, this] {
+        DeliverTo(process, [=, this] {
           if (process->ownership.OnUnreachable(this->now, worker)) {
             process->ledger.erase(worker);
           }
         });
       });
     }
-    this->Later(kLatency, [=, this] {
+    this->ScheduleEvent(kLatency, [=, this] {
       ModelWorker& target = this->Find(worker);
       ++target.calls;
       const std::function<void()> answer = call(target);
-      this->Later(kLatency, [=] { Tell(process, answer); });
+      this->ScheduleEvent(kLatency, [=] { DeliverTo(process, answer); });
     });
   }
 
@@ -421,7 +421,7 @@
   void SendStart(ModelProcess* process, const WorkerId& worker, Epoch epoch,
                  std::uint64_t task) {
     const auto ended = [=, this](bool ran) {
-      Tell(process, [=, this] {
+      DeliverTo(process, [=, this] {
         process->ledger[worker].erase(task);
         if (ran) process->ownership.OnStartAnswered(this->now, worker);
         if (!ran) process->ownership.OnStartRefused(this->now, worker);
@@ -429,12 +429,15 @@
     };
     const bool reached =
         this->Linked(process->sender.process.Text(), worker.Text());
-    if (!reached) return this->Later(kCallTimeout, [=] { ended(false); });
-    this->Later(kLatency, [=, this] {
+    if (!reached) {
+      return this->ScheduleEvent(kCallTimeout, [=] { ended(false); });
+    }
+    this->ScheduleEvent(kLatency, [=, this] {
       const bool ran =
           this->Find(worker).Start(this->now, epoch, task, this->options.lease);
       if (ran) ++process->started;
-      this->Later(ran ? kRunTime + kLatency : kLatency, [=] { ended(ran); });
+      this->ScheduleEvent(ran ? kRunTime + kLatency : kLatency,
+                          [=] { ended(ran); });
     });
   }
 
--- a/packages/core/tests/ownership_change_test.cc
+++ b/packages/core/tests/ownership_change_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// The way an application behaves that tells of its starts.
-void TellStarts(OwnershipCell* cell, const std::vector<std::string>& names) {
+void ReportStarts(OwnershipCell* cell, const std::vector<std::string>& names) {
   for (const std::string& name : names) {
     cell->At(name).ownership.OnStartSent(cell->now, WorkerId("none"));
   }
@@ -23,7 +23,8 @@
 
 BOOST_AUTO_TEST_SUITE(ownership_change)
 
-BOOST_AUTO_TEST_CASE(a_cold_start_of_all_ends_with_the_preferred_owners) {
+BOOST_AUTO_TEST_CASE(
+    a_cold_start_of_all_processes_ends_with_the_preferred_owners) {
   // Story: the whole cell is started at once. Each process at first knows only
   // itself and would take every worker, to hand most of them over later.
   OwnershipCell cell({"a", "b", "c", "d"}, 24);
@@ -33,14 +34,17 @@
   BOOST_TEST(cell.Attaches() == 24);
 }
 
-BOOST_AUTO_TEST_CASE(workers_of_a_dead_process_are_taken_within_five_seconds) {
+BOOST_AUTO_TEST_CASE(
+    workers_of_a_failed_process_are_taken_over_within_five_seconds) {
   // Story: an entry host loses power. Urgent callers whose work fits only its
   // workers wait until others own them.
   OwnershipCell cell({"a", "b", "c", "d"}, 24);
   cell.StartAll();
-  TellStarts(&cell, {"a", "b", "c", "d"});
+  ReportStarts(&cell, {"a", "b", "c", "d"});
   cell.Run(30s);
-  for (const char* name : {"a", "b", "c", "d"}) cell.At(name).places = true;
+  for (const char* name : {"a", "b", "c", "d"}) {
+    cell.At(name).places_tasks = true;
+  }
   cell.Run(5s);
   cell.At("d").alive = false;
   const Instant died = cell.now;
@@ -63,18 +67,18 @@
   // way.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
-  cell.At("a").places = true;
-  cell.At("b").places = true;
+  cell.At("a").places_tasks = true;
+  cell.At("b").places_tasks = true;
   cell.Run(5s);
   const std::size_t owned = cell.OwnedBy("a");
-  cell.Start("a").places = true;
+  cell.Start("a").places_tasks = true;
   cell.Run(8s);
   BOOST_TEST(cell.OwnedBy("a") == owned);
   BOOST_TEST(cell.AllOwnedByPreferred());
   BOOST_TEST(cell.Peak() == kSlots);
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_worker_is_attached_anew) {
+BOOST_AUTO_TEST_CASE(a_restarted_worker_is_attached_again) {
   // Story: a worker host reboots in between two renewals. Everything that ran
   // there is gone; its owner must hear so by a fresh attach, and never send
   // with an epoch that the worker of before the reboot has seen.
@@ -91,7 +95,7 @@
   BOOST_TEST(after->incarnation != before->incarnation);
 }
 
-BOOST_AUTO_TEST_CASE(churn_of_members_ends_with_the_preferred_owners) {
+BOOST_AUTO_TEST_CASE(membership_churn_ends_with_the_preferred_owners) {
   // Story: the entry hosts are replaced one by one while the cell is busy, one
   // of them twice in a row. Workers move each time; none may be overcommitted
   // or stay without an owner.
@@ -99,7 +103,7 @@
   cell.StartAll();
   for (const char* name : {"a", "b", "c", "d", "b"}) {
     for (const char* other : {"a", "b", "c", "d"}) {
-      cell.At(other).places = true;
+      cell.At(other).places_tasks = true;
     }
     cell.At(name).alive = false;
     cell.Run(3s);
@@ -111,7 +115,7 @@
   BOOST_TEST(cell.Peak() == kSlots);
 }
 
-BOOST_AUTO_TEST_CASE(a_member_that_flaps_does_not_drag_workers_about) {
+BOOST_AUTO_TEST_CASE(a_flapping_member_does_not_move_workers) {
   // Story: one entry host is heard for half a second in every three, as with a
   // failing network card. Each time it appears it is preferred for its racks.
   // It can't reach the workers either, so releasing to it would leave them
@@ -132,13 +136,14 @@
   BOOST_TEST(least == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(another_member_takes_what_the_preferred_cant_reach) {
+BOOST_AUTO_TEST_CASE(
+    another_member_takes_a_worker_that_the_preferred_owner_cannot_reach) {
   // Story: one entry host is alive and heard by its peers but has lost its way
   // to one worker. As the preferred owner it keeps the others off, and the
   // worker would stand idle for good while callers wait.
   OwnershipCell cell({"a", "b", "c"}, 24);
   cell.StartAll();
-  TellStarts(&cell, {"a", "b", "c"});
+  ReportStarts(&cell, {"a", "b", "c"});
   cell.Run(60s);
   std::size_t worker = 0;
   while (
@@ -162,14 +167,14 @@
   BOOST_TEST(cell.At("a").ownership.OwnedForStart(cell.now, lost).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_worker_costs_few_messages) {
+BOOST_AUTO_TEST_CASE(a_failed_worker_causes_few_messages) {
   // Story: a worker host is gone for good, but the lagging host list names it
   // for hours. Every process would knock on it, and on its neighbours to find
   // out which one has no owner, without end.
   const std::vector<std::string> names{"a", "b", "c"};
   OwnershipCell cell(names, 24);
   cell.StartAll();
-  TellStarts(&cell, names);
+  ReportStarts(&cell, names);
   cell.Run(60s);
   for (const std::string& name : names) cell.Cut(name, "w00");
   const auto calls = [&] {
@@ -198,7 +203,7 @@
   OwnershipCell cell({"a"}, 1);
   ModelProcess& a = cell.Start("a");
   const WorkerId worker("w00");
-  a.places = true;
+  a.places_tasks = true;
   cell.Run(10s);
   const std::int32_t attaches = cell.Attaches();
   BOOST_TEST(!a.ownership.OnUnreachable(cell.now, worker));
@@ -233,12 +238,12 @@
   BOOST_TEST((lost <= 3400ms + 3s + 2 * 800ms));
 }
 
-BOOST_AUTO_TEST_CASE(reports_come_also_while_starts_keep_the_lease) {
+BOOST_AUTO_TEST_CASE(reports_are_requested_while_starts_renew_the_lease) {
   // Story: a worker is busy with short requests, whose starts renew its lease
   // all the time, and runs one long detached task beside them. Without reports
   // the long task's own lease lapses, and the worker stops it.
   OwnershipCell cell({"a"}, 1);
-  cell.Start("a").places = true;
+  cell.Start("a").places_tasks = true;
   cell.Run(5s);
   const std::int32_t before = cell.At("a").calls;
   cell.Run(30s);
@@ -257,14 +262,14 @@
   BOOST_TEST(cell.OwnedBy("a") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(idle_leases_may_lapse_and_starts_still_work) {
+BOOST_AUTO_TEST_CASE(idle_leases_may_expire_and_starts_still_succeed) {
   // Story: at night nothing runs and renewals become rare, so the worker's
   // lease lapses. In the morning the first caller must be served at once.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
-  TellStarts(&cell, {"a", "b"});
+  ReportStarts(&cell, {"a", "b"});
   cell.Run(5min);
-  cell.At("a").places = true;
+  cell.At("a").places_tasks = true;
   const std::size_t owned = cell.OwnedBy("a");
   cell.Run(100ms);
   BOOST_TEST(cell.At("a").started >= static_cast<std::int32_t>(owned));
--- a/packages/core/tests/ownership_split_test.cc
+++ b/packages/core/tests/ownership_split_test.cc
@@ -14,29 +14,29 @@
 
 const WorkerId kFirst("w00");
 
-std::size_t OwnedTogether(OwnershipCell* cell) {
+std::size_t TotalOwned(OwnershipCell* cell) {
   return cell->OwnedBy("a") + cell->OwnedBy("b");
 }
 
-void PlaceAtAll(OwnershipCell* cell) {
-  cell->At("a").places = true;
-  cell->At("b").places = true;
+void PlaceTasksAtBoth(OwnershipCell* cell) {
+  cell->At("a").places_tasks = true;
+  cell->At("b").places_tasks = true;
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(ownership_split)
 
-BOOST_AUTO_TEST_CASE(two_that_cant_hear_each_other_never_overcommit) {
+BOOST_AUTO_TEST_CASE(a_partition_between_two_processes_never_overcommits) {
   // Story: the link between two entry hosts breaks while both reach all
   // workers. Each takes the other for dead and itself for the owner of all.
   // Were both to place, a worker of 8 slots would run 16 tasks. Both are under
   // full load the whole time.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
-  PlaceAtAll(&cell);
+  PlaceTasksAtBoth(&cell);
   cell.Run(5s);
-  BOOST_TEST(OwnedTogether(&cell) == 8U);
+  BOOST_TEST(TotalOwned(&cell) == 8U);
   cell.Cut("a", "b");
   cell.Run(60s);
   cell.Heal();
@@ -45,7 +45,8 @@
   BOOST_TEST(cell.AllOwnedByPreferred());
 }
 
-BOOST_AUTO_TEST_CASE(idle_workers_do_not_change_hands_for_ever_in_a_split) {
+BOOST_AUTO_TEST_CASE(
+    idle_workers_do_not_change_owners_endlessly_in_a_partition) {
   // Story: as above, but the cell is idle, so the leases of idle workers lapse
   // and each side can attach whenever it likes. Without more, a worker would
   // change owners every few seconds, and each change costs a refused start.
@@ -61,7 +62,7 @@
   BOOST_TEST(cell.Attaches() == before);
 }
 
-BOOST_AUTO_TEST_CASE(a_paused_holder_can_not_place_with_its_old_epoch) {
+BOOST_AUTO_TEST_CASE(a_paused_holder_cannot_start_tasks_with_its_old_epoch) {
   // Story: an entry host stops for 20 s between the check of its lease and the
   // send (SIGSTOP, or a stalled hypervisor). Meanwhile its workers pass to the
   // other one, which fills them. Then the first one wakes up and its start
@@ -76,12 +77,12 @@
       a.ownership.OwnedForStart(cell.now, cell.hosts[worker].id)->epoch;
 
   a.paused = true;
-  cell.At("b").places = true;
+  cell.At("b").places_tasks = true;
   cell.Run(20s);
   BOOST_TEST(cell.OwnedBy("b") == 8U);
   BOOST_TEST(!cell.StartAt(worker, epoch));
 
-  a.places = true;
+  a.places_tasks = true;
   cell.Resume("a");
   cell.Run(20s);
   BOOST_TEST(cell.Peak() == kSlots);
@@ -89,7 +90,7 @@
   BOOST_TEST(a.started > 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_pause_alone_does_not_make_a_process_take_everything) {
+BOOST_AUTO_TEST_CASE(a_pause_alone_does_not_cause_takeovers) {
   // Story: a data centre's hypervisor stalls for 20 s, and its entry hosts with
   // it. When they wake up, each finds the others silent for 20 s and would take
   // all workers, and they would fight over them although nobody had died.
@@ -113,7 +114,7 @@
   BOOST_TEST(cell.Attaches() == before);
 }
 
-BOOST_AUTO_TEST_CASE(without_epoch_checks_a_split_does_not_overcommit) {
+BOOST_AUTO_TEST_CASE(without_epoch_checks_a_partition_does_not_overcommit) {
   // Story: these workers grant leases but do not compare the epoch of a start.
   // Then a holder may send nothing once its lease could have lapsed, or two
   // owners would fill the same slots while they can't hear each other.
@@ -121,7 +122,7 @@
   options.worker_checks_epoch = false;
   OwnershipCell cell({"a", "b"}, 8, options);
   cell.StartAll();
-  PlaceAtAll(&cell);
+  PlaceTasksAtBoth(&cell);
   cell.Run(5s);
   cell.Cut("a", "b");
   cell.Run(30s);
@@ -135,7 +136,8 @@
   BOOST_TEST(cell.AllOwnedByPreferred());
 }
 
-BOOST_AUTO_TEST_CASE(without_epoch_checks_a_lease_counts_from_the_send) {
+BOOST_AUTO_TEST_CASE(
+    without_epoch_checks_a_lease_counts_from_the_sent_request) {
   // Story: a renewal takes 700 ms to be answered. Counted from the answer, the
   // lease would seem to last 700 ms longer than the worker grants it, and in
   // that time a new owner and this one would both place.
@@ -156,7 +158,7 @@
   BOOST_TEST(!a.ownership.OwnedForStart(lapse, kFirst).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_late_answer_does_not_lengthen_a_later_call) {
+BOOST_AUTO_TEST_CASE(a_late_answer_does_not_extend_the_lease_of_a_later_call) {
   // Story: a renewal is reported lost, the next one is sent, and then the first
   // one's answer arrives. Taken for the second one's, it would count the lease
   // from the wrong send, and this holder would place after the lapse.
--- a/packages/core/tests/retry_budget_test.cc
+++ b/packages/core/tests/retry_budget_test.cc
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(retry_budget)
 
-BOOST_AUTO_TEST_CASE(retries_follow_a_tenth_of_the_traffic) {
+BOOST_AUTO_TEST_CASE(retries_are_limited_to_a_tenth_of_the_traffic) {
   // Story: every worker of the cell fails every request. Each failure asks for
   // a retry, so without a limit the cell would get a multiple of its load just
   // when it is sick. 1,000 requests a second arrive for 10 s.
@@ -24,7 +24,7 @@
   BOOST_TEST(retries <= 1012);
 }
 
-BOOST_AUTO_TEST_CASE(a_quiet_cell_may_still_retry) {
+BOOST_AUTO_TEST_CASE(retries_are_allowed_at_low_traffic) {
   RetryBudget budget(0.1, 2);
   std::int32_t retries = 0;
   for (std::int32_t second = 0; second < 60; ++second) {
@@ -43,7 +43,7 @@
   BOOST_TEST(!budget.TryRetry(Instant(5s)));
 }
 
-BOOST_AUTO_TEST_CASE(a_long_quiet_time_saves_up_no_flood) {
+BOOST_AUTO_TEST_CASE(idle_time_accumulates_a_bounded_number_of_retries) {
   // Story: after a calm night the first fault of the morning fails hundreds of
   // requests at once. Saved-up tokens of the night must not all be spent then.
   RetryBudget budget(0.1, 1);
@@ -52,7 +52,7 @@
   BOOST_TEST(retries == 5);
 }
 
-BOOST_AUTO_TEST_CASE(traffic_saves_up_no_more_than_its_burst) {
+BOOST_AUTO_TEST_CASE(traffic_accumulates_at_most_its_burst) {
   RetryBudget budget(0.1, 1);
   for (std::int32_t i = 0; i < 100'000; ++i) budget.OnRequest(Instant(1s));
   std::int32_t retries = 0;
--- a/packages/core/tests/worker_health_basic_test.cc
+++ b/packages/core/tests/worker_health_basic_test.cc
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_SUITE(worker_health_basic)
 
-BOOST_AUTO_TEST_CASE(failures_in_a_row_eject) {
+BOOST_AUTO_TEST_CASE(consecutive_failures_eject_a_worker) {
   WorkerHealth health = FourWorkers();
   Fail(&health, Instant(1s), 4);
   BOOST_TEST(health.Availability(Instant(1s), WorkerId("w1")).placeable);
@@ -45,7 +45,7 @@
   BOOST_TEST(changed[0] == WorkerId("w1"));
 }
 
-BOOST_AUTO_TEST_CASE(a_success_between_failures_ends_the_row) {
+BOOST_AUTO_TEST_CASE(a_success_resets_the_consecutive_failures) {
   WorkerHealth health = FourWorkers();
   for (std::int32_t i = 0; i < 10; ++i) {
     Fail(&health, Instant(1s), 4);
@@ -54,7 +54,7 @@
   BOOST_TEST(health.Availability(Instant(1s), WorkerId("w1")).share == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(an_ejected_worker_is_probed_and_returns_slowly) {
+BOOST_AUTO_TEST_CASE(an_ejected_worker_is_probed_and_returns_gradually) {
   WorkerHealth health = FourWorkers();
   const WorkerId worker("w1");
   Fail(&health, Instant(1s), 5);
