--- a/packages/core/include/mustardproxy/core/actions.h
+++ b/packages/core/include/mustardproxy/core/actions.h
@@ -14,32 +14,32 @@
 #include "mustardproxy/core/request.h"
 #include "mustardproxy/core/timeline.h"
 
-/// What the core wants done. Traffic threads carry each out and report the
-/// result as an event; an action without a named result has none.
+/// Actions that the core requests. Traffic threads perform each one and report
+/// its result as an event; an action for which no result is named has none.
 namespace mustardproxy {
 
-/// Answer the caller, or the peer that forwarded the request.
+/// Answers the caller, or the peer that forwarded the request.
 struct Reply {
   RequestId request;
   Answer answer;
 };
-/// Answer 202: deferred work is in the journal.
+/// Answers with status 202: the deferred work is stored in the journal.
 struct ReplyAccepted {
   RequestId request;
 };
 struct AnswerQuery {
   std::uint64_t query = 0;
-  /// Empty: this cell does not know the request.
+  /// Empty if this cell does not know the request.
   std::optional<DeferredStatus> status;
 };
-/// Ask a peer about deferred work; ends in `QueryAnswered`.
+/// Asks a peer for the state of deferred work. Ends in `QueryAnswered`.
 struct QueryPeer {
   std::uint64_t query = 0;
   ProcessId peer;
   RequestId request;
   bool cancel = false;
-  /// Stop tasks of it that run at the peer's workers though the peer did not
-  /// start them. Their requests are not cancelled.
+  /// Also stop tasks of the request that run on the peer's workers although the
+  /// peer did not start them. The requests of these tasks are not cancelled.
   bool stop_orphans = false;
 };
 /// Ends in `ForwardAnswered` or `ForwardFailed`.
@@ -47,7 +47,7 @@
   ProcessId peer;
   Request request;
 };
-/// A forwarded request was cancelled by its caller.
+/// Tells the peer that the caller has cancelled a forwarded request.
 struct ForwardCancel {
   ProcessId peer;
   RequestId request;
@@ -66,7 +66,7 @@
   std::string address;
   Epoch epoch = 0;
   Duration lease{0};
-  /// Ended tasks up to this number were seen.
+  /// Sequence number up to which reports of ended tasks have been received.
   std::uint64_t ended_sequence = 0;
 };
 /// Ends in `WorkerReleased`, `WorkerRefused` or `WorkerUnreachable`.
@@ -75,14 +75,14 @@
   std::string address;
   Epoch epoch = 0;
 };
-/// Ends in one of `TaskStarted` (detached only, `TaskEnded` then comes with a
-/// renewal), `TaskEnded`, `TaskNotStarted`, `TaskUncertain`.
+/// Ends in `TaskStarted` (detached tasks only; `TaskEnded` then follows with a
+/// renewal), `TaskEnded`, `TaskNotStarted` or `TaskUncertain`.
 struct StartTask {
   WorkerId worker;
   std::string address;
   Epoch epoch = 0;
   TaskSpec spec;
-  /// Time until the answer is given up on.
+  /// Time after which the process stops waiting for the answer.
   Duration timeout{0};
 };
 /// Ends in `TaskStopAnswered` or `WorkerUnreachable`.
@@ -91,27 +91,27 @@
   std::string address;
   Epoch epoch = 0;
   TaskId task;
-  /// Keep its progress if the task can.
+  /// Save a checkpoint of the task if it supports that.
   bool checkpoint = false;
 };
-/// Ends in `TaskQueried`. The worker refuses a task it never saw from then on,
-/// so that a delayed start can not follow the answer "never started".
+/// Ends in `TaskQueried`. A worker that has never seen the task refuses it from
+/// then on, so that a delayed start cannot follow the answer "never started".
 struct QueryTask {
   WorkerId worker;
   std::string address;
   TaskId task;
 };
 
-/// Heartbeat; ends in `DigestArrived` or `PeerUnreachable`.
+/// Sends a heartbeat. Ends in `DigestArrived` or `PeerUnreachable`.
 struct SendDigest {
   ProcessId peer;
   Digest digest;
 };
-/// Ends in `ConfigurationArrived`, or nothing.
+/// Ends in `ConfigurationArrived`, or in no event if the peer does not answer.
 struct FetchConfiguration {
   ProcessId peer;
 };
-/// Keep a waiting watch on the configuration at the platform, or stop it.
+/// Starts or stops the long-polling watch of the configuration at the platform.
 struct WatchConfiguration {
   bool watch = true;
 };
@@ -120,18 +120,20 @@
 struct AppendJournal {
   JournalBatch batch;
 };
-/// Ends in `JournalsListed`, or nothing when the platform is away.
+/// Ends in `JournalsListed`, or in no event if the platform is unreachable.
 struct ListJournals {};
-/// Ends in `JournalRead`, or nothing when the platform is away.
+/// Ends in `JournalRead`, or in no event if the platform is unreachable.
 struct ReadJournal {
   JournalId journal;
 };
-/// Remove batches up to `through`, which are compacted or no longer needed.
+/// Removes batches up to `through`, which have been compacted or are no longer
+/// needed.
 struct TrimJournal {
   JournalId journal;
   std::uint64_t through = 0;
 };
-/// Remove claims on keys that nobody has changed for `retention`; no event.
+/// Removes claims on idempotency keys that have not changed for `retention`.
+/// Ends in no event.
 struct SweepClaims {
   Duration retention{0};
 };
@@ -142,8 +144,9 @@
   std::string key;
   std::uint64_t body_hash = 0;
 };
-/// Keep the answer beside the claim, so that a repeat gets the same one.
-/// `drop` removes the claim instead: the request provably did not run.
+/// Stores the answer with the claim, so that a repeated request gets the same
+/// answer. With `drop` set, the claim is removed instead, because the request
+/// provably did not run.
 struct ResolveKeyClaim {
   RequestId request;
   TeamId team;
@@ -153,25 +156,26 @@
   bool drop = false;
 };
 
-/// For the time line.
+/// Records an event in the timeline.
 struct RecordEvent {
   TimelineEvent event;
 };
-/// One sample for the metrics.
+/// Records one sample for the metrics.
 struct RecordSample {
   enum class Kind {
     /// Microseconds from arrival to placement.
     kWaitingTime,
     /// Microseconds of run time.
     kRunTime,
-    /// Thousandths of an owned worker's processors in use.
+    /// Share of an owned worker's processors in use, in thousandths.
     kPacking,
   };
   Kind kind = Kind::kWaitingTime;
   ProfileId profile;
   std::int64_t value = 0;
 };
-/// Everything in progress has ended and is handed over: the process may exit.
+/// All work in progress has ended and has been handed over: the process may
+/// exit.
 struct ShutdownFinished {};
 
 using Action =
@@ -182,7 +186,7 @@
                  TrimJournal, SweepClaims, ClaimKey, ResolveKeyClaim,
                  RecordEvent, RecordSample, ShutdownFinished>;
 
-/// Actions in the order in which they are to be begun.
+/// Actions in the order in which they must be started.
 using Actions = std::vector<Action>;
 
 }  // namespace mustardproxy
--- a/packages/core/include/mustardproxy/core/configuration.h
+++ b/packages/core/include/mustardproxy/core/configuration.h
@@ -13,19 +13,22 @@
 
 /// How tasks of a profile are packed onto workers.
 enum class Packing {
-  /// Onto the worker whose free resources match the task best; keeps large
-  /// gaps whole.
+  /// Onto the worker whose free resources match the task most closely; this
+  /// leaves large free blocks intact.
   kBestFit,
   /// Onto the first worker with room, in a fixed order.
   kFirstFit,
-  /// Onto the worker with most room; keeps neighbours from disturbing a task.
+  /// Onto the worker with the most free resources; this reduces interference
+  /// between tasks.
   kSpread,
 };
 
-/// How a kind of work is treated. Operators name profiles and change them.
+/// How one kind of work is scheduled. Operators define profiles and may change
+/// them.
 struct Profile {
   ProfileId id;
-  /// Answered at once with an id, journalled, run later.
+  /// The caller gets an id at once; the request is written to the journal and
+  /// run later.
   bool deferred = false;
   /// All tasks of a request start together or none does.
   bool gang = false;
@@ -39,9 +42,9 @@
   Packing packing = Packing::kBestFit;
   /// Tasks may be checkpointed or stopped to make room for urgent work.
   bool preemptible = false;
-  /// Most requests that wait in one entry process.
+  /// Maximum number of requests queued in one entry process.
   std::int32_t queue_limit = 10000;
-  /// Attempts at an idempotent request, the first included.
+  /// Maximum number of attempts of an idempotent request, including the first.
   std::int32_t max_attempts = 3;
   /// How long the result of deferred work is kept.
   Duration result_retention = std::chrono::hours(1);
@@ -49,17 +52,17 @@
   friend bool operator==(const Profile&, const Profile&) = default;
 };
 
-/// What callers can ask for, by name.
+/// A named kind of request that callers can send.
 struct Service {
   ServiceId id;
   ProfileId profile;
-  /// What one task takes, `slots` included.
+  /// Resources that one task needs, including `slots`.
   Resources resources;
-  /// May run again without harm.
+  /// A request may safely run more than once.
   bool idempotent = true;
-  /// Tasks per request; more than 1 only makes sense with a gang profile.
+  /// Tasks per request; more than 1 is useful only with a gang profile.
   std::int32_t tasks = 1;
-  /// Declared run time, only a hint.
+  /// Expected run time as declared by the operator; only a hint.
   Duration expected_run = std::chrono::milliseconds(100);
 
   friend bool operator==(const Service&, const Service&) = default;
@@ -70,20 +73,20 @@
   TeamId id;
   /// Share under contention, relative to the other teams.
   double weight = 1.0;
-  /// Most that the team's running tasks may hold in one entry process's
-  /// workers; a zero part means no limit on it.
+  /// Maximum resources that the team's running tasks may hold on the workers of
+  /// one entry process; a component of zero means no limit.
   Resources quota;
 
   friend bool operator==(const Team&, const Team&) = default;
 };
 
-/// The whole document that operators change by compare-and-swap.
+/// The configuration document. Operators change it by compare-and-swap.
 struct Configuration {
   ConfigurationVersion version = 0;
   std::map<ProfileId, Profile> profiles;
   std::map<ServiceId, Service> services;
   std::map<TeamId, Team> teams;
-  /// Team of callers that name none.
+  /// Team of requests that name no team.
   TeamId default_team;
 
   friend bool operator==(const Configuration&, const Configuration&) = default;
--- a/packages/core/include/mustardproxy/core/deferred_store.h
+++ b/packages/core/include/mustardproxy/core/deferred_store.h
@@ -14,7 +14,7 @@
 
 namespace mustardproxy {
 
-/// A piece of deferred work as the journal tells it.
+/// State of one deferred request, as recorded in the journal.
 struct DeferredEntry {
   Request request;
   JournalId journal;
@@ -28,8 +28,8 @@
   std::optional<Instant> ended;
 };
 
-/// State of deferred work, rebuilt from journal batches at an adoption and kept
-/// up with each record that becomes durable.
+/// State of all deferred requests. It is rebuilt from journal batches when a
+/// journal is adopted, and updated with each record that becomes durable.
 class DeferredStore {
  public:
   DeferredStore();
@@ -37,21 +37,24 @@
   DeferredStore(DeferredStore&&) noexcept;
   DeferredStore& operator=(DeferredStore&&) noexcept;
 
-  /// Applies one record; applying it again changes nothing.
+  /// Applies one record. Applying the same record again has no effect.
   void Apply(Instant now, const JournalId& journal,
              const JournalRecord& record);
-  /// @return what a journal's batches leave unfinished, in order of acceptance
+  /// Applies all batches of a journal.
+  /// @return the requests that are unfinished after them, in order of
+  ///   acceptance
   std::vector<DeferredEntry> Recover(Instant now, const JournalId& journal,
                                      std::span<const JournalBatch> batches);
 
   [[nodiscard]] const DeferredEntry* Find(const RequestId& request) const;
-  /// Drops entries that ended more than `retention` ago, and says which.
+  /// Removes entries that ended more than `retention` ago.
+  /// @return the requests of the removed entries
   std::vector<RequestId> Expire(Instant now, Duration retention);
   /// @return records that rebuild the live state of a journal, for compaction
   [[nodiscard]] std::vector<JournalRecord> Snapshot(
       const JournalId& journal) const;
   [[nodiscard]] std::size_t Size() const;
-  /// Bytes of bodies held.
+  /// @return the total size of the stored bodies in bytes
   [[nodiscard]] std::size_t Bytes() const;
   [[nodiscard]] std::size_t UnfinishedCount(const JournalId& journal) const;
 
--- a/packages/core/include/mustardproxy/core/digest.h
+++ b/packages/core/include/mustardproxy/core/digest.h
@@ -11,7 +11,7 @@
 
 namespace mustardproxy {
 
-/// What an entry process tells its peers with each heartbeat.
+/// State of an entry process that it sends to its peers with each heartbeat.
 struct Digest {
   ProcessId process;
   Incarnation incarnation = 0;
@@ -20,16 +20,18 @@
   /// Journals that this process writes or has adopted and not yet emptied.
   std::vector<JournalId> journals;
   std::int32_t owned_workers = 0;
-  /// Sum of free resources over owned workers that take new work.
+  /// Sum of the free resources of all owned workers that accept new tasks.
   Resources free;
-  /// The largest single free amount, part by part on one worker.
+  /// Largest free amount on a single worker, for each kind of resource
+  /// separately.
   Resources largest_free;
-  /// Predicted wait of a request that arrives now at the most urgent level.
+  /// Predicted queueing time of a request of the most urgent priority that
+  /// arrives now.
   Duration predicted_wait{0};
   std::int32_t queued = 0;
-  /// In shutdown: owns nothing soon, takes nothing new.
+  /// Shutting down: the process releases its workers and accepts no new work.
   bool stopping = false;
-  /// Reaches the platform at present.
+  /// The platform is currently reachable from this process.
   bool platform_reachable = true;
 };
 
--- a/packages/core/include/mustardproxy/core/error.h
+++ b/packages/core/include/mustardproxy/core/error.h
@@ -6,11 +6,11 @@
 
 namespace mustardproxy {
 
-/// Every error that a caller or an operator can meet. The numbers are stable;
-/// docs/ERRORS.md gives cause and cure of each.
+/// Errors that are reported to callers and operators. The numbers are stable;
+/// docs/ERRORS.md describes the cause and the remedy of each.
 enum class Error {
   kOk = 0,
-  // 1xx: the request itself.
+  // 1xx: errors in the request itself.
   kUnknownService = 101,
   kUnknownTeam = 102,
   kHeaderInvalid = 103,
@@ -22,7 +22,7 @@
   kUnknownQueue = 109,
   kUnknownJob = 110,
   kJobInvalid = 111,
-  // 2xx: refused, was not run, come back later.
+  // 2xx: refused without running; the caller may retry later.
   kWaitTooLong = 201,
   kQueueFull = 202,
   kQuotaExceeded = 203,
@@ -34,7 +34,7 @@
   kGangImpossible = 209,
   kStoreUnavailable = 210,
   kOverloaded = 211,
-  // 3xx: started or perhaps started.
+  // 3xx: the request was started or may have been started.
   kDeadlineExceeded = 301,
   kWorkerLost = 302,
   kAnswerIncomplete = 303,
@@ -42,7 +42,7 @@
   kCancelled = 305,
   kTaskFailed = 306,
   kResultExpired = 307,
-  // 4xx: between the processes and the platform.
+  // 4xx: errors between the processes and the platform.
   kPlatformUnavailable = 401,
   kConflict = 402,
   kFenced = 403,
@@ -52,7 +52,7 @@
   kMalformedReply = 407,
   kHistoryLost = 408,
   kNotOwner = 409,
-  // 5xx: settings and the configuration document.
+  // 5xx: errors in the settings or in the configuration document.
   kFileMissing = 501,
   kSyntax = 502,
   kUnknownField = 503,
--- a/packages/core/include/mustardproxy/core/event_sink.h
+++ b/packages/core/include/mustardproxy/core/event_sink.h
@@ -5,8 +5,8 @@
 
 namespace mustardproxy {
 
-/// Where traffic threads report what happened. The application's control thread
-/// stands behind it; tests stand a list behind it.
+/// Receives the events that traffic threads report. In the application they go
+/// to the control thread; tests collect them in a list.
 class EventSink {
  public:
   EventSink() = default;
@@ -14,7 +14,8 @@
   EventSink& operator=(const EventSink&) = delete;
   virtual ~EventSink() = default;
 
-  /// Hands an event over; returns at once. Safe from any thread.
+  /// Posts an event and returns without waiting for it to be handled.
+  /// Thread-safe.
   virtual void Post(Event event) = 0;
 };
 
--- a/packages/core/include/mustardproxy/core/events.h
+++ b/packages/core/include/mustardproxy/core/events.h
@@ -14,37 +14,37 @@
 #include "mustardproxy/core/request.h"
 #include "mustardproxy/core/worker.h"
 
-/// What the world tells the core. Each event is the report of something that
-/// already happened; the core answers with actions (actions.h).
+/// Events that the core receives. Each one reports something that has already
+/// happened; the core responds with actions (actions.h).
 namespace mustardproxy {
 
-/// Time has passed; sent when `Core::NextWakeup` is due.
+/// Sent when the time returned by `Core::NextWakeup` is reached.
 struct Tick {};
 
 /// A caller's request, or one that a peer forwarded (`hops` > 0).
 struct RequestArrived {
   Request request;
 };
-/// A caller cancels, or its connection is gone.
+/// The caller has cancelled the request or closed its connection.
 struct CancelRequested {
   RequestId request;
 };
-/// Somebody asks for the state or result of deferred work; answered by a
-/// `AnswerQuery` action that carries the same `query`.
+/// A caller or a peer asks for the state or result of deferred work. Answered
+/// by an `AnswerQuery` action with the same `query`.
 struct QueryArrived {
   std::uint64_t query = 0;
   RequestId request;
-  /// Came from a peer, which must not be asked back.
+  /// The query came from a peer, which must not be queried in turn.
   bool from_peer = false;
-  /// Cancel it too.
+  /// Also cancel the request.
   bool cancel = false;
-  /// Stop tasks of it that this process did not start itself.
+  /// Also stop tasks of the request that this process did not start.
   bool stop_orphans = false;
 };
-/// A peer's answer to an `QueryPeer` action.
+/// A peer's answer to a `QueryPeer` action.
 struct QueryAnswered {
   std::uint64_t query = 0;
-  /// Empty if the peer does not know the request or could not be asked.
+  /// Empty if the peer does not know the request or could not be reached.
   std::optional<DeferredStatus> status;
 };
 
@@ -54,7 +54,8 @@
   ProcessId peer;
   Answer answer;
 };
-/// The peer could not be asked, or went away before it answered.
+/// The peer could not be reached, or the connection was lost before it
+/// answered.
 struct ForwardFailed {
   RequestId request;
   ProcessId peer;
@@ -74,10 +75,11 @@
   /// Highest epoch the worker has seen; the next attach must be above it.
   Epoch highest = 0;
   ProcessId holder;
-  /// What is left of the holder's lease on the worker's own clock.
+  /// Remaining time of the holder's lease, measured by the worker's clock.
   Duration lease_left{0};
 };
-/// The lease is renewed; carries what happened since the last one.
+/// A lease was renewed; the report holds what has happened since the last
+/// report.
 struct WorkerRenewed {
   WorkerReport report;
 };
@@ -97,19 +99,20 @@
   WorkerId worker;
   TaskId task;
 };
-/// A task has ended, with its whole answer.
+/// A task has ended and its complete answer was received.
 struct TaskEnded {
   WorkerId worker;
   EndedTask ended;
 };
-/// The task provably did not start: no connection, not one byte written, or
-/// refused by the worker.
+/// The task provably did not start: the connection failed, nothing was written,
+/// or the worker refused it.
 struct TaskNotStarted {
   WorkerId worker;
   TaskId task;
   std::error_code reason;
 };
-/// Sent, and no whole answer came back: it may have run.
+/// The start was sent, but no complete answer was received: the task may have
+/// run.
 struct TaskUncertain {
   WorkerId worker;
   TaskId task;
@@ -120,7 +123,7 @@
   WorkerId worker;
   TaskId task;
   enum class State {
-    /// The worker never saw it, and from now on refuses it.
+    /// The worker has never seen the task and refuses it from now on.
     kNeverStarted,
     kRunning,
     kEnded,
@@ -128,16 +131,16 @@
   };
   State state = State::kUnreachable;
   EndedTask ended;
-  /// The worker's run that answered; 0 if it did not say. A restarted worker
-  /// has forgotten what it ran before, so its "never started" only counts for
-  /// the incarnation that the start was sent to.
+  /// Incarnation of the worker that answered, or 0 if unknown. A restarted
+  /// worker has lost its record of earlier tasks, so "never started" is valid
+  /// only for the incarnation that the start was sent to.
   Incarnation incarnation = 0;
 };
-/// A stop order was obeyed, or was not needed any more.
+/// The worker has carried out a stop, or the stop was no longer needed.
 struct TaskStopAnswered {
   WorkerId worker;
   TaskId task;
-  /// It had not ended before the order.
+  /// The task had not ended before the stop arrived.
   bool stopped = false;
 };
 
@@ -150,27 +153,28 @@
   ProcessId peer;
 };
 
-/// The platform's list of hosts, as far as it knows.
+/// The platform's list of hosts, which may be out of date.
 struct HostListArrived {
   std::vector<WorkerDescription> workers;
 };
-/// A configuration document seen at the platform, at a peer or at start.
+/// A configuration document received from the platform, from a peer or at
+/// start.
 struct ConfigurationArrived {
   Configuration configuration;
 };
 
-/// The batch is in the platform.
+/// The platform has stored the batch.
 struct JournalAppended {
   JournalId journal;
   std::uint64_t sequence = 0;
 };
-/// Somebody else holds that sequence number: the journal was adopted.
+/// Another process has written this sequence number: the journal was adopted.
 struct JournalFenced {
   JournalId journal;
   std::uint64_t sequence = 0;
 };
-/// The platform did not answer and the fate of the append could not be read.
-/// Send the same batch again.
+/// The platform did not answer, and whether the append took effect could not be
+/// read. The same batch must be sent again.
 struct JournalUncertain {
   JournalId journal;
   std::uint64_t sequence = 0;
@@ -188,9 +192,9 @@
 /// State of a claim on an idempotency key.
 struct KeyClaim {
   RequestId request;
-  /// Digest of the body it came with.
+  /// Hash of the body of the claiming request.
   std::uint64_t body_hash = 0;
-  /// Set when the request has ended and its answer was kept.
+  /// Set when the request has ended and its answer was stored.
   std::optional<Answer> answer;
 };
 /// This request holds the key.
@@ -202,18 +206,19 @@
   RequestId request;
   KeyClaim claim;
 };
-/// The platform did not answer: nothing may start under this key. If
-/// `maybe_claimed`, the claim may stand and a later look-up settles it.
+/// The platform did not answer: no request may start under this key. If
+/// `maybe_claimed` is set, the claim may have been written, and a later lookup
+/// decides.
 struct KeyUnavailable {
   RequestId request;
   bool maybe_claimed = false;
 };
 
-/// The platform stopped or began answering.
+/// The platform has become reachable or unreachable.
 struct PlatformReachability {
   bool reachable = true;
 };
-/// The operator asked for a graceful stop.
+/// The operator has requested a graceful shutdown.
 struct ShutdownRequested {};
 
 using Event = std::variant<
--- a/packages/core/include/mustardproxy/core/ids.h
+++ b/packages/core/include/mustardproxy/core/ids.h
@@ -11,10 +11,10 @@
 
 namespace mustardproxy {
 
-/// A name of one kind of thing. Names of different kinds do not convert into
-/// each other.
+/// Identifier of one kind of entity. Identifiers of different kinds do not
+/// convert into each other.
 ///
-/// @tparam Tag an empty type that tells the kinds apart
+/// @tparam Tag an empty type that distinguishes the kinds
 template <typename Tag>
 class Id {
  public:
@@ -23,7 +23,7 @@
   explicit Id(std::string_view text) : text(text) {}
   explicit Id(const char* text) : text(text) {}
 
-  /// @return the name as text
+  /// @return the identifier as text
   [[nodiscard]] const std::string& Text() const { return this->text; }
   [[nodiscard]] bool Empty() const { return this->text.empty(); }
 
@@ -39,7 +39,7 @@
   std::string text;
 };
 
-/// A caller's request, unique over all processes and restarts:
+/// A caller's request, unique across all processes and restarts:
 /// `<process>.<incarnation in hex>.<counter>`.
 using RequestId = Id<struct RequestTag>;
 /// One run of one task of a request: `<request>/<task index>/<attempt>`.
@@ -56,9 +56,10 @@
 /// A journal of deferred work: `<process>.<incarnation in hex>`.
 using JournalId = Id<struct JournalTag>;
 
-/// Drawn at random at each start of a process; tells its runs apart.
+/// Random number drawn at each start of a process; distinguishes its runs.
 using Incarnation = std::uint64_t;
-/// Fencing token of a worker's lease. A worker refuses all but its highest.
+/// Fencing token of a worker's lease. A worker accepts only the highest epoch
+/// that it has seen.
 using Epoch = std::uint64_t;
 /// Version of the configuration document; grows by one with each change.
 using ConfigurationVersion = std::uint64_t;
--- a/packages/core/include/mustardproxy/core/journal.h
+++ b/packages/core/include/mustardproxy/core/journal.h
@@ -13,26 +13,27 @@
 
 namespace mustardproxy {
 
-/// Limits of one journal's use of the platform.
+/// Limits on one journal's use of the platform.
 struct JournalOptions {
-  /// Appends a second: this process's share of the platform's write rate.
+  /// Appends per second: this process's share of the platform's write rate.
   double appends_per_second = 20;
   double burst = 5;
-  /// Largest batch, below the platform's limit of a megabyte for a value.
+  /// Maximum size of a batch, below the platform's limit of one megabyte per
+  /// value.
   std::size_t max_batch_bytes = 900'000;
   std::size_t max_batch_records = 1000;
-  /// Bytes waiting to be appended before new work is refused.
+  /// Number of pending bytes above which new work is refused.
   std::size_t max_pending_bytes = 8'000'000;
-  /// Pause before an uncertain append is sent again.
+  /// Delay before an append with an unknown result is sent again.
   Duration retry_interval = std::chrono::milliseconds(200);
 };
 
-/// The writer of one journal: gathers records into batches, keeps one append
-/// in flight, and paces them with a token bucket. At low load a record goes out
-/// at once.
+/// Writer of one journal. It collects records into batches, keeps one append in
+/// flight and limits the rate of appends with a token bucket. At low load a
+/// record is sent immediately.
 class Journal {
  public:
-  /// @param first_sequence 1 for a fresh journal; after adoption the number
+  /// @param first_sequence 1 for a new journal; after an adoption, the number
   ///   that follows the adopted record
   Journal(JournalId id, std::uint64_t first_sequence, JournalOptions options,
           std::uint64_t seed);
@@ -40,29 +41,31 @@
   Journal(Journal&&) noexcept;
   Journal& operator=(Journal&&) noexcept;
 
-  /// Takes a record in. New work is refused at the bound on pending bytes,
-  /// records about work accepted before only at twice that bound.
-  /// @return a ticket; the record is durable once `OnAppended` returns it, or
-  ///   0 if too much is pending, the journal is fenced, or the record alone is
-  ///   larger than a batch may be (the record is dropped)
+  /// Adds a record. New work is refused when the limit on pending bytes is
+  /// reached, records about work that was accepted earlier only at twice that
+  /// limit.
+  /// @return a ticket, or 0 if too much is pending, the journal is fenced, or
+  ///   the record alone exceeds the size of a batch (the record is then
+  ///   discarded); the record is durable once `OnAppended` returns its ticket
   [[nodiscard]] std::uint64_t Append(JournalRecord record);
   /// Sends the next batch if none is in flight and the rate allows it. A batch
-  /// whose append was uncertain is sent again unchanged.
+  /// whose append has an unknown result is sent again unchanged.
   void Tick(Instant now, Actions* actions);
-  /// @return tickets that are durable now
+  /// @return tickets of the records that are now durable
   [[nodiscard]] std::vector<std::uint64_t> OnAppended(Instant now,
                                                       std::uint64_t sequence);
-  /// The journal was adopted by somebody else: it takes nothing any more.
+  /// Another process has adopted the journal: no further records are accepted.
   void OnFenced();
   void OnUncertain(Instant now, std::uint64_t sequence);
 
   [[nodiscard]] const JournalId& Name() const;
   [[nodiscard]] bool Fenced() const;
-  /// Nothing pending and nothing in flight.
+  /// @return true if no record is pending or in flight
   [[nodiscard]] bool Idle() const;
-  /// Time the oldest pending record has waited; shows an outage.
+  /// @return how long the oldest pending record has waited; grows during an
+  ///   outage of the platform
   [[nodiscard]] Duration OldestPending(Instant now) const;
-  /// Sequence number of the last durable batch.
+  /// @return the sequence number of the last durable batch
   [[nodiscard]] std::uint64_t LastSequence() const;
   [[nodiscard]] Instant NextWakeup() const;
 
--- a/packages/core/include/mustardproxy/core/journal_record.h
+++ b/packages/core/include/mustardproxy/core/journal_record.h
@@ -12,35 +12,37 @@
 
 namespace mustardproxy {
 
-/// Deferred work has been taken on; the caller may be told 202.
+/// Deferred work was accepted; the caller may be answered with status 202.
 struct AcceptedRecord {
   Request request;
 };
-/// A task of it is about to be sent. Written before the send.
+/// A task of the request is about to be started. Written before the start is
+/// sent.
 struct StartedRecord {
   RequestId request;
   TaskId task;
   WorkerId worker;
   Epoch epoch = 0;
   std::int32_t attempt = 1;
-  /// The worker's run that the start is sent to; 0 if not known.
+  /// Incarnation of the worker that the start is sent to; 0 if unknown.
   Incarnation worker_incarnation = 0;
 };
-/// It ended; `answer` is what the caller reads.
+/// The request has ended; `answer` is returned to the caller.
 struct FinishedRecord {
   RequestId request;
   DeferredState state = DeferredState::kFinished;
   Answer answer;
 };
-/// The caller cancelled it.
+/// The caller has cancelled the request.
 struct CancelledRecord {
   RequestId request;
   bool ran = false;
 };
-/// The journal's owner leaves in good order; any peer may go on at once.
+/// The journal's owner has shut down gracefully; any peer may take the journal
+/// over immediately.
 struct HandedOverRecord {};
-/// A peer has taken the journal over. Whoever wrote it before is fenced off,
-/// since this record holds the sequence number of its next append.
+/// A peer has taken over the journal. This fences the former writer, because
+/// the record occupies the sequence number of its next append.
 struct AdoptedRecord {
   ProcessId by;
   Incarnation incarnation = 0;
@@ -55,7 +57,7 @@
 struct JournalBatch {
   JournalId journal;
   std::uint64_t sequence = 0;
-  /// Drawn at random; settles whether a lost reply hid a success.
+  /// Random number; shows after a lost reply whether the batch was stored.
   std::uint64_t batch_id = 0;
   std::vector<JournalRecord> records;
 };
--- a/packages/core/include/mustardproxy/core/membership.h
+++ b/packages/core/include/mustardproxy/core/membership.h
@@ -16,7 +16,7 @@
 
 namespace mustardproxy {
 
-/// An entry process as the settings name it.
+/// An entry process as listed in the settings.
 struct PeerDescription {
   ProcessId process;
   DataCenterId data_center;
@@ -25,28 +25,30 @@
                          const PeerDescription&) = default;
 };
 
-/// Times of the heartbeat between entry processes.
+/// Timing and byte budgets of the heartbeats between entry processes.
 struct MembershipOptions {
   Duration heartbeat_interval = std::chrono::milliseconds(500);
-  /// To processes of other data centres.
+  /// Interval of heartbeats to processes in other data centres.
   Duration remote_heartbeat_interval = std::chrono::seconds(2);
-  /// Silence after which a peer counts as gone, in heartbeat intervals.
+  /// Number of heartbeat intervals without an answer after which a peer is
+  /// considered lost.
   std::int32_t missed_heartbeats = 4;
-  /// Bytes a second that quiet heartbeats inside the data centre may take;
-  /// with many members the interval stretches instead. See src/pacing.h.
+  /// Bytes per second that heartbeats inside the data centre may use while
+  /// nothing is queued; with many members the interval is lengthened instead.
+  /// See src/pacing.h.
   std::int32_t local_bytes_per_second = 900;
-  /// The same towards other data centres.
+  /// The same limit for heartbeats to other data centres.
   std::int32_t remote_bytes_per_second = 400;
 };
 
-/// Which entry processes are alive, as far as this one can tell. Views of
-/// different processes may differ; nothing that must not be doubled rests on
-/// them.
+/// Tracks which entry processes are alive from the view of this process. Views
+/// of different processes may differ; no guarantee against duplicate execution
+/// depends on them.
 ///
-/// All processes of a data centre exchange heartbeats; towards each other data
-/// centre each process talks to one or two processes chosen by rendezvous
-/// hashing, so that the messages grow with the data centres, not with the
-/// square of the processes.
+/// All processes of a data centre exchange heartbeats. Towards each other data
+/// centre, every process talks to one or two processes chosen by rendezvous
+/// hashing, so that the number of messages grows with the number of data
+/// centres and not with the square of the number of processes.
 class Membership {
  public:
   Membership(PeerDescription self, std::vector<PeerDescription> peers,
@@ -60,38 +62,40 @@
   /// @return true if the peer was not alive before, or has restarted
   bool OnDigest(Instant now, const Digest& digest);
   void OnUnreachable(Instant now, const ProcessId& peer);
-  /// @return peers found gone since the last call
+  /// @return peers that were found lost since the last call
   [[nodiscard]] std::vector<ProcessId> TakeLostPeers(Instant now);
 
-  /// @return the name of this process
+  /// @return the id of this process
   [[nodiscard]] const ProcessId& Self() const;
-  /// Grows with each change of `LocalMembers`, so that callers recompute what
-  /// hangs on it only then.
+  /// @return a counter that grows with each change of `LocalMembers`, so that
+  ///   callers recompute dependent state only then
   [[nodiscard]] std::uint64_t Generation() const;
-  /// @return true once every member of the data centre was heard or had a
-  ///   second to answer; before that a starting process would take all workers
+  /// @return true once every member of the data centre has answered or has had
+  ///   one second to answer; before that, a starting process would claim all
+  ///   workers
   [[nodiscard]] bool DiscoveryComplete(Instant now) const;
   [[nodiscard]] bool Alive(const ProcessId& process) const;
-  /// Live members of the own data centre, this process included, in order.
-  /// A member that is stopping is left out.
+  /// @return the live members of this data centre in ascending order, including
+  ///   this process; members that are shutting down are excluded
   [[nodiscard]] std::vector<ProcessId> LocalMembers() const;
   /// @return the member that should own the workers of `rack`, by rendezvous
   ///   hashing over `LocalMembers`
   [[nodiscard]] ProcessId PreferredOwner(const RackId& rack) const;
-  /// @return true if this process keeps the configuration watch of its data
-  ///   centre
+  /// @return true if this process watches the configuration for its data centre
   [[nodiscard]] bool IsConfigurationWatcher() const;
-  /// Picks a peer for a request that does not fit here: the better of two
-  /// drawn at random among those whose digest shows room, the own data centre
-  /// first. Room already promised to a peer since its last digest is
-  /// subtracted, so that an idle peer does not meet a herd.
+  /// Chooses a peer for a request that does not fit here: the better of two
+  /// random peers among those whose digest shows enough free resources, with
+  /// peers of this data centre preferred. Resources of requests that were
+  /// forwarded to a peer since its last digest are subtracted, so that an idle
+  /// peer is not overloaded by many requests at once.
   /// @param random 64 random bits
   [[nodiscard]] std::optional<ProcessId> ChooseForwardTarget(
       Instant now, const Resources& needs, std::span<const ProcessId> avoid,
       std::uint64_t random);
   /// @return the last digest of a live peer
   [[nodiscard]] std::optional<Digest> LastDigest(const ProcessId& peer) const;
-  /// Highest configuration version any live peer reported, and who did.
+  /// @return the live peer that reported the highest configuration version
+  ///   above `than`, if any
   [[nodiscard]] std::optional<PeerDescription> PeerWithNewerConfiguration(
       ConfigurationVersion than) const;
   /// @return the live process that writes or has adopted `journal`, if any
--- a/packages/core/include/mustardproxy/core/request.h
+++ b/packages/core/include/mustardproxy/core/request.h
@@ -14,7 +14,8 @@
 
 namespace mustardproxy {
 
-/// Opaque bytes, shared so that the core never copies them. Null is empty.
+/// Opaque bytes, shared so that the core never copies them. A null pointer
+/// means an empty body.
 using Body = std::shared_ptr<const std::string>;
 
 /// @return the bytes of `body`, empty if there are none
@@ -23,17 +24,18 @@
   return *body;
 }
 
-/// The three ends of a request, kept apart to the caller.
+/// Possible outcomes of a request, reported to the caller as distinct results.
 enum class Outcome {
-  /// Ran; the answer is the upstream's, whole.
+  /// The request ran; the answer is the complete answer of the upstream.
   kCompleted,
-  /// Said only by a process that knows that no task of it started.
+  /// Reported only by a process that knows that no task of the request was
+  /// started.
   kNotRun,
-  /// May have run once.
+  /// The request may have run once.
   kUnknown,
 };
 
-/// State of deferred work as its caller sees it.
+/// State of deferred work as reported to its caller.
 enum class DeferredState {
   kQueued,
   kRunning,
@@ -48,13 +50,14 @@
   RequestId id;
   ServiceId service;
   TeamId team;
-  /// Empty when the caller gave none.
+  /// Empty if the caller sent none.
   std::string idempotency_key;
-  /// Time the caller still waits, counted from the arrival at this process.
+  /// Remaining time for which the caller waits, counted from the arrival at
+  /// this process.
   Duration timeout = std::chrono::seconds(30);
   Body body;
-  /// Hops between entry processes so far; 1 at most within a data centre and 2
-  /// in all, so that requests never travel in circles.
+  /// Number of hops between entry processes so far: at most 1 within a data
+  /// centre and 2 in total, which prevents forwarding loops.
   std::int32_t hops = 0;
   /// Process that answers the caller; the origin of a forwarded request.
   ProcessId origin;
@@ -63,29 +66,30 @@
 /// The final answer to a request.
 struct Answer {
   Outcome outcome = Outcome::kNotRun;
-  /// HTTP status towards the caller; the upstream's own when completed.
+  /// HTTP status for the caller; the upstream's own status if completed.
   std::int32_t status = 503;
   std::string content_type;
   Body body;
-  /// Set unless `outcome` is completed.
+  /// Set unless `outcome` is `kCompleted`.
   std::error_code error;
-  /// One sentence that names the resource, field or limit at fault.
+  /// One sentence that names the resource, field or limit that caused the
+  /// error.
   std::string detail;
-  /// When to come back; zero when coming back does not help.
+  /// Time after which a retry is useful; zero if a retry does not help.
   Duration retry_after{0};
 };
 
-/// Answer to a question about deferred work.
+/// Answer to a query about deferred work.
 struct DeferredStatus {
   RequestId id;
   DeferredState state = DeferredState::kUnknown;
   std::string detail;
-  /// Set once finished.
+  /// Set once the work has finished.
   Answer result;
   bool ran = false;
 };
 
-/// One task as it is sent to a worker.
+/// Specification of a task as sent to a worker.
 struct TaskSpec {
   TaskId task;
   RequestId request;
@@ -93,8 +97,9 @@
   Resources resources;
   Duration max_run{0};
   Body body;
-  /// The worker answers as soon as the task has started, and its end is learnt
-  /// from renewals. Otherwise the answer is the task's result.
+  /// The worker answers as soon as the task has started, and the end of the
+  /// task is reported with a renewal. Otherwise the answer is the task's
+  /// result.
   bool detached = false;
 };
 
@@ -103,7 +108,7 @@
   kFinished,
   /// Ran and reported failure (status 500 and above).
   kFailed,
-  /// Stopped by order, by its time limit, or because its lease lapsed.
+  /// Stopped on request, by its time limit, or because its lease expired.
   kStopped,
   kCheckpointed,
 };
--- a/packages/core/include/mustardproxy/core/result.h
+++ b/packages/core/include/mustardproxy/core/result.h
@@ -7,8 +7,8 @@
 namespace mustardproxy {
 
 /// A value or an error code.
-/// Boost.Outcome stands in for `std::expected`, which clang-tidy 14 can not
-/// read from the library of GCC 12.
+/// Boost.Outcome is used instead of `std::expected`, which clang-tidy 14 cannot
+/// parse from the standard library of GCC 12.
 template <typename T>
 using Result = boost::outcome_v2::std_result<T, std::error_code>;
 
--- a/packages/core/include/mustardproxy/core/retry_budget.h
+++ b/packages/core/include/mustardproxy/core/retry_budget.h
@@ -7,17 +7,18 @@
 
 namespace mustardproxy {
 
-/// Keeps retries to a share of the traffic, so that a failing cell is not
-/// loaded with a multiple of its requests.
+/// Limits retries to a share of the traffic, so that retries do not multiply
+/// the load of a failing cell.
 class RetryBudget {
  public:
   /// @param share retries per first attempt, for example 0.1
-  /// @param minimum_per_second retries always allowed, for quiet times
+  /// @param minimum_per_second retries per second that are allowed even at low
+  ///   traffic
   RetryBudget(double share, double minimum_per_second);
 
-  /// A first attempt was made.
+  /// Records a first attempt.
   void OnRequest(Instant now);
-  /// @return true if a retry may be made now; it is counted
+  /// @return true if a retry may be made now; the retry is then counted
   [[nodiscard]] bool TryRetry(Instant now);
 
  private:
--- a/packages/core/include/mustardproxy/core/timeline.h
+++ b/packages/core/include/mustardproxy/core/timeline.h
@@ -8,7 +8,7 @@
 
 namespace mustardproxy {
 
-/// What happened, for the time line of events over all processes.
+/// Kind of an event in the timeline of all processes.
 enum class TimelineKind {
   kProcessStarted,
   kProcessStopping,
--- a/packages/core/include/mustardproxy/core/worker.h
+++ b/packages/core/include/mustardproxy/core/worker.h
@@ -11,36 +11,37 @@
 
 namespace mustardproxy {
 
-/// A worker as the platform's host list or the settings name it.
+/// A worker as listed in the platform's host list or in the settings.
 struct WorkerDescription {
   WorkerId id;
   /// `ip:port` of its HTTP interface.
   std::string address;
   DataCenterId data_center;
   RackId rack;
-  /// On its way out: gets no new work.
+  /// The worker is leaving and gets no new work.
   bool leaving = false;
 
   friend bool operator==(const WorkerDescription&,
                          const WorkerDescription&) = default;
 };
 
-/// A worker's answer to an attach: all that its new owner must know before it
-/// places anything.
+/// A worker's answer to an attach: the state that a new owner needs before it
+/// places tasks.
 struct WorkerReport {
   WorkerId worker;
   Epoch epoch = 0;
-  /// Drawn by the worker at its own start. A change means that everything that
-  /// ran there before is gone.
+  /// Drawn by the worker when it starts. A change means that all tasks that ran
+  /// there before are gone.
   Incarnation incarnation = 0;
   Resources capacity;
   std::int32_t connections = 0;
   std::vector<RunningTask> running;
-  /// Tasks ended recently, oldest first.
+  /// Recently ended tasks, oldest first.
   std::vector<EndedTask> ended;
-  /// Number of the last entry in `ended`; given back in the next renewal.
+  /// Sequence number of the last entry in `ended`; returned to the worker with
+  /// the next renewal.
   std::uint64_t ended_sequence = 0;
-  /// Resources in use as measured there, with a lag.
+  /// Resources in use as measured by the worker, with a delay.
   Resources usage;
 };
 
--- a/packages/core/include/mustardproxy/core/worker_health.h
+++ b/packages/core/include/mustardproxy/core/worker_health.h
@@ -10,20 +10,22 @@
 
 namespace mustardproxy {
 
-/// When a worker is ejected and how it comes back.
+/// Conditions for ejecting a worker and for returning it to service.
 struct WorkerHealthOptions {
-  /// Failures in a row, over at least two services or requests, that eject.
+  /// Number of consecutive failures, of at least two different requests, after
+  /// which a worker is ejected.
   std::int32_t failures_to_eject = 5;
-  /// Most of the owned workers that may be ejected at once.
+  /// Maximum share of the owned workers that may be ejected at the same time.
   double max_ejected_share = 0.3;
-  /// First ejection; doubles with each one that follows soon.
+  /// Length of the first ejection; doubles with each ejection that follows soon
+  /// after.
   Duration ejection = std::chrono::seconds(5);
   Duration max_ejection = std::chrono::minutes(2);
-  /// Time over which a returning worker's share grows back to all.
+  /// Time over which a returning worker's share grows back to 1.
   Duration return_time = std::chrono::seconds(10);
 };
 
-/// What placement may do with a worker.
+/// Whether and to what extent placement may use a worker.
 struct WorkerAvailability {
   bool placeable = true;
   /// Share of its slots that may be used, 0..1.
@@ -33,9 +35,9 @@
                          const WorkerAvailability&) = default;
 };
 
-/// Tells workers that fail everything from tasks that fail everywhere. A worker
-/// that fails fast looks idle and would attract all work; it is ejected,
-/// probed after a pause, and brought back slowly.
+/// Distinguishes workers that fail every task from tasks that fail on every
+/// worker. A worker that fails fast looks idle and would attract all work; it
+/// is ejected, probed after a delay, and returned to service gradually.
 class WorkerHealth {
  public:
   explicit WorkerHealth(WorkerHealthOptions options);
@@ -43,8 +45,8 @@
   WorkerHealth(WorkerHealth&&) noexcept;
   WorkerHealth& operator=(WorkerHealth&&) noexcept;
 
-  /// @param service what succeeded, if known: a service that succeeds
-  ///   somewhere is not to blame for a worker's failures
+  /// @param service the service that succeeded, if known; a service that
+  ///   succeeds on some worker is not the cause of a worker's failures
   void OnSuccess(Instant now, const WorkerId& worker,
                  const ServiceId& service = ServiceId());
   void OnFailure(Instant now, const WorkerId& worker, const ServiceId& service,
@@ -53,10 +55,10 @@
   void Remove(const WorkerId& worker);
   [[nodiscard]] WorkerAvailability Availability(Instant now,
                                                 const WorkerId& worker) const;
-  /// @return workers whose standing has changed since the last call
+  /// @return workers whose availability has changed since the last call
   [[nodiscard]] std::vector<WorkerId> TakeChanged(Instant now);
-  /// @return true if the request failed on three distinct healthy workers, and
-  ///   so is at fault itself
+  /// @return true if the request has failed on three distinct healthy workers,
+  ///   so that the request itself is considered faulty
   [[nodiscard]] bool RequestAtFault(const RequestId& request) const;
   void Forget(const RequestId& request);
   [[nodiscard]] Instant NextWakeup() const;
