--- a/packages/core/src/deferred_store.cc
+++ b/packages/core/src/deferred_store.cc
@@ -12,10 +12,10 @@
 
 struct StoredEntry {
   DeferredEntry entry;
-  /// Place in the order of acceptance; 0 while no accepted record was seen.
-  /// A snapshot is written behind records that were pending when it was taken,
+  /// Position in the order of acceptance; 0 while no accepted record was seen.
+  /// A snapshot is written after records that were pending when it was taken,
   /// so the end of a request may be read before its acceptance. Keeping that
-  /// end is what stops finished work from coming back as queued.
+  /// end prevents finished work from returning as queued.
   std::uint64_t order = 0;
 };
 
@@ -49,7 +49,7 @@
 
   std::unordered_map<RequestId, StoredEntry> entries;
   std::unordered_map<JournalId, std::size_t> unfinished;
-  /// In order of their end, since time only grows.
+  /// In order of their end, because time never decreases.
   std::deque<EndedRequest> ended;
   std::uint64_t last_order = 0;
   std::size_t bytes = 0;
--- a/packages/core/src/forwarding.cc
+++ b/packages/core/src/forwarding.cc
@@ -11,10 +11,11 @@
 namespace detail {
 namespace {
 
-/// A digest made less than this after a promise may not show it yet: the
-/// request is on its way, or the answer crossed it.
+/// A digest that arrives less than this time after a reservation was made may
+/// not reflect it yet: the request may still be in transit, or the digest may
+/// have been sent before the request arrived.
 constexpr Duration kForwardTransitTime = std::chrono::milliseconds(100);
-/// Promises made within this time of each other are kept as one.
+/// Reservations made within this time of each other are merged.
 constexpr Duration kReservationMergeWindow = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -44,9 +45,10 @@
           room.accelerators / parts, room.slots / parts};
 }
 
-/// Whether this process may send the one task of a part that is smaller than a
-/// task. Drawn anew with each digest, so that over all competitors about as
-/// many are sent as there are slots.
+/// @return true if this process may send a single task although its share of
+///   the peer's free resources is smaller than one task. The decision is
+///   redrawn with each digest, so that all competitors together send about as
+///   many tasks as the peer has free slots
 bool DrawsFractionalShare(const ProcessId& self, const Peer& peer,
                           std::int64_t competitors) {
   const std::uint64_t draw =
@@ -56,7 +58,7 @@
   return static_cast<std::int64_t>(draw) < peer.digest->free.slots;
 }
 
-/// Room of a peer that this process may still fill.
+/// @return the free resources of a peer that this process may still use
 Resources RemainingRoom(const ProcessId& self, const Peer& peer,
                         const Resources& needs, std::int64_t competitors) {
   Resources room = DividedBy(peer.digest->free, competitors);
@@ -81,7 +83,7 @@
   return a.room.cpu_milli > b.room.cpu_milli;
 }
 
-/// The better of two different ones drawn at random.
+/// @return the better of two distinct candidates drawn at random
 const Candidate& BetterOfTwo(const std::vector<Candidate>& candidates,
                              std::uint64_t random) {
   const std::uint64_t count = candidates.size();
@@ -120,10 +122,10 @@
 }
 
 std::int64_t Membership::State::CompetitorCount() const {
-  // Failure: one member is idle, all others are full. Each sees the same room
-  // in the idle one's digest, and together they send it many times what it can
-  // hold. So each takes only its part of it, shared with the members whose
-  // digests show a queue.
+  // Failure: one member is idle and all others are full. All of them see the
+  // same free resources in its digest and together forward many times what it
+  // can hold. Each process therefore uses only its share, divided among the
+  // members whose digests show queued requests.
   std::int64_t count = 1;
   for (const auto& [id, peer] : this->peers) {
     if (peer.local && peer.alive && peer.digest->queued > 0) ++count;
--- a/packages/core/src/journal.cc
+++ b/packages/core/src/journal.cc
@@ -13,20 +13,20 @@
 namespace mustardproxy {
 namespace {
 
-/// Records about work that was accepted before may fill this many times the
-/// bound at which new work is refused: dropping one of them would lose an end
-/// or a start, which costs more than memory.
+/// Records about work accepted earlier may use this multiple of the limit at
+/// which new work is refused: discarding one of them would lose an end or a
+/// start, which costs more than memory.
 constexpr std::size_t kFollowUpLimitFactor = 2;
 
 struct PendingRecord {
   std::uint64_t ticket = 0;
   std::size_t bytes = 0;
-  /// First tick that saw the record.
+  /// Time of the first tick after the record was added.
   std::optional<Instant> since;
   JournalRecord record;
 };
 
-/// The one batch whose end is not known yet.
+/// The batch that was sent and whose result is not known yet.
 struct SentBatch {
   JournalBatch batch;
   std::vector<std::uint64_t> tickets;
@@ -60,7 +60,7 @@
   std::uint64_t next_sequence;
   std::uint64_t last_ticket = 0;
   std::deque<PendingRecord> pending;
-  /// Of pending records and the batch in flight.
+  /// Bytes of the pending records and of the batch in flight.
   std::size_t held_bytes = 0;
   std::optional<SentBatch> sent_batch;
   bool fenced = false;
@@ -161,8 +161,8 @@
 std::vector<std::uint64_t> Journal::OnAppended(Instant now,
                                                std::uint64_t sequence) {
   this->state->StampPending(now);
-  // A report that comes twice, or after the journal was fenced, must not make
-  // the records of a later batch durable.
+  // A duplicate report, or one that arrives after the journal was fenced, must
+  // not mark the records of a later batch as durable.
   if (!this->state->sent_batch ||
       this->state->sent_batch->batch.sequence != sequence) {
     return {};
--- a/packages/core/src/journal_pacer.h
+++ b/packages/core/src/journal_pacer.h
@@ -5,18 +5,18 @@
 
 namespace mustardproxy::detail {
 
-/// Token bucket in the form of the generic cell rate algorithm: it keeps the
-/// moment at which the bucket is full again instead of a count, so that all of
-/// its arithmetic is exact.
+/// Token bucket implemented as the generic cell rate algorithm: it stores the
+/// time at which the bucket is full again instead of a token count, so that all
+/// of its arithmetic is exact.
 class JournalPacer {
  public:
-  /// @param per_second tokens that come back each second
+  /// @param per_second tokens added per second
   /// @param burst size of the bucket, at least 1
   JournalPacer(double per_second, double burst);
 
-  /// @return the moment from which a token can be taken
+  /// @return the time from which a token can be taken
   [[nodiscard]] Instant ReadyAt() const;
-  /// Takes one token; to be called only when `now` has reached `ReadyAt()`.
+  /// Takes one token. Precondition: `now` has reached `ReadyAt()`.
   void Take(Instant now);
 
  private:
--- a/packages/core/src/journal_size.cc
+++ b/packages/core/src/journal_size.cc
@@ -5,8 +5,8 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Numbers, tags and lengths of one record; the widest one has nine fields of
-/// at most eleven bytes each, and nests three messages.
+/// Encoded numbers, tags and lengths of one record. The largest record has nine
+/// fields of at most eleven bytes each and nests three messages.
 constexpr std::size_t kFixedBytes = 160;
 
 template <typename Tag>
--- a/packages/core/src/journal_size.h
+++ b/packages/core/src/journal_size.h
@@ -7,7 +7,7 @@
 
 namespace mustardproxy::detail {
 
-/// @return an upper bound of the bytes that `record` takes once encoded
+/// @return an upper bound of the encoded size of `record` in bytes
 [[nodiscard]] std::size_t EncodedSizeBound(const JournalRecord& record);
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lease_timers.h
+++ b/packages/core/src/lease_timers.h
@@ -10,11 +10,11 @@
 
 namespace mustardproxy::detail {
 
-/// One timer per worker, numbered from 0.
+/// One timer per worker; workers are numbered from 0.
 class LeaseTimers {
  public:
-  /// Sets the timer of `worker`, or stops it.
-  /// @complexity logarithmic in the timers that run
+  /// Sets the timer of `worker`, or stops it if `at` is empty.
+  /// @complexity logarithmic in the number of running timers
   void Set(std::size_t worker, std::optional<Instant> at) {
     if (worker >= this->set_to.size()) this->set_to.resize(worker + 1);
     std::optional<Instant>& present = this->set_to[worker];
@@ -24,7 +24,8 @@
     present = at;
   }
 
-  /// @return a worker whose timer has run out by `now`; it is stopped
+  /// @return a worker whose timer has expired by `now`, if any; the timer is
+  ///   stopped
   [[nodiscard]] std::optional<std::size_t> TakeDue(Instant now) {
     if (this->queue.empty() || this->queue.begin()->at > now) {
       return std::nullopt;
@@ -34,7 +35,7 @@
     return worker;
   }
 
-  /// @return when the first timer runs out, or `Instant::max()`
+  /// @return when the first timer expires, or `Instant::max()`
   [[nodiscard]] Instant Next() const {
     return this->queue.empty() ? Instant::max() : this->queue.begin()->at;
   }
--- a/packages/core/src/membership.cc
+++ b/packages/core/src/membership.cc
@@ -14,16 +14,18 @@
 
 namespace {
 
-/// A peer that did not introduce itself in the settings is taken on up to this
-/// many in all, so that strangers can not fill the memory.
+/// Maximum number of peers. Peers that are not listed in the settings are added
+/// only up to this number, so that unknown senders cannot exhaust the memory.
 constexpr std::size_t kMaxPeers = 256;
 /// A starting process waits this long for members that do not answer.
 constexpr Duration kDiscoveryTimeout = std::chrono::seconds(1);
-/// The local interval stretches no further: 8 members fit their budget with
-/// it, more members take more bytes, and a dead one is still found in time.
+/// Upper bound of the local interval: 8 members stay within their budget at
+/// this interval. More members use more bytes, and a failed member is still
+/// detected in time.
 constexpr Duration kMaxLocalInterval = std::chrono::milliseconds(2500);
 constexpr Duration kMaxRemoteInterval = std::chrono::seconds(10);
-/// Heartbeats to a gone peer, in the intervals of a live one.
+/// Interval of heartbeats to a lost peer, as a multiple of the interval for a
+/// live one.
 constexpr std::int32_t kLostPeerIntervalFactor = 4;
 
 }  // namespace
@@ -64,16 +66,16 @@
 
 Duration Membership::State::Interval(const Peer& peer) const {
   if (!peer.local) return this->IdleInterval(false);
-  // While requests wait, digests must be fresh for forwarding; their bytes are
-  // then few beside the traffic.
+  // While requests are queued, forwarding needs recent digests; their bytes are
+  // then negligible compared with the traffic.
   const bool queueing =
       this->own.queued > 0 || (peer.digest && peer.digest->queued > 0);
   return queueing ? this->options.heartbeat_interval : this->IdleInterval(true);
 }
 
 Duration Membership::State::SilenceLimit(const Peer& peer) const {
-  // The first missed heartbeat comes a whole interval after the last one; the
-  // ones that follow an unanswered one go out at the short interval.
+  // The first missed heartbeat is sent a full interval after the last one;
+  // those that follow an unanswered one are sent at the retry interval.
   const Duration retry = this->RetryInterval(peer.local);
   return this->IdleInterval(peer.local) +
          retry * (this->options.missed_heartbeats - 1);
@@ -89,14 +91,15 @@
     return peer.sent +
            (given_up ? this->Interval(peer) * kLostPeerIntervalFactor : retry);
   }
-  // Calls that fail at once, as after a crash, are repeated faster, so that the
-  // workers of a crashed process are taken over sooner.
+  // Calls that fail immediately, as after a crash, are retried faster, so that
+  // the workers of a crashed process are taken over sooner.
   if (peer.unreachable > 0) return peer.sent + retry / 2;
   if (peer.unanswered > 0) return peer.sent + retry;
   const Instant exchanged = std::max(peer.sent, peer.heard);
   if (this->urgent_change_since > exchanged) return exchanged + retry / 4;
-  // An exchange shows each side the other's digest, so one per pair is enough:
-  // the side with the lower name begins, the other one only when it does not.
+  // An exchange shows each side the other's digest, so one exchange per pair is
+  // enough: the side with the lower name initiates it, and the other side only
+  // if that one does not.
   const bool begins = this->self.process < peer.description.process;
   return exchanged + this->Interval(peer) + (begins ? Duration(0) : retry / 2);
 }
@@ -125,8 +128,8 @@
 Peer* Membership::State::Add(PeerDescription description) {
   Peer peer;
   peer.local = description.data_center == this->self.data_center;
-  // The same from both ends, so that two processes mostly choose each other and
-  // one exchange serves both.
+  // Computed identically on both sides, so that two processes usually choose
+  // each other and one exchange serves both.
   const auto& [low, high] =
       std::minmax(this->self.process, description.process);
   peer.link_weight = detail::RendezvousWeight(low.Text(), high.Text());
@@ -157,10 +160,10 @@
 }
 
 void Membership::State::CompensateOwnPause(Instant now) {
-  // Failure: this process was stopped for a while. At its return all peers seem
-  // to have been silent, and it would take over the whole data centre. It shows
-  // as a wake-up that comes late; then each peer gets the time of two more
-  // heartbeats to answer before it counts as gone.
+  // Failure: after this process was suspended, all peers seem to have been
+  // silent, and it would take over all workers of the data centre. A suspension
+  // shows as a late wake-up; each peer then gets the time of two more
+  // heartbeats to answer before it is considered lost.
   if (!this->started || now <= this->next_wakeup) return;
   const bool paused =
       now - this->next_wakeup >= this->options.heartbeat_interval;
@@ -193,8 +196,9 @@
     const bool silent = now - peer.heard >= this->SilenceLimit(peer);
     if (!silent && peer.unreachable < this->options.missed_heartbeats) continue;
     peer.alive = false;
-    // A process of another data centre that no longer talks to us has perhaps
-    // only chosen another link; no loss is reported then.
+    // A process of another data centre that no longer sends heartbeats may only
+    // have chosen another peer to talk to, so its loss is reported only if it
+    // left a heartbeat unanswered.
     peer.lost = peer.local || peer.unanswered > 0;
     peer.reservations.clear();
     changed = true;
@@ -209,7 +213,8 @@
     const bool counts = peer.local && peer.alive && !peer.digest->stopping;
     if (counts) members.push_back(id);
   }
-  // Somebody must stand in the list: a process that stops alone names itself.
+  // The list must not be empty: a process that shuts down as the only member
+  // lists itself.
   if (members.empty()) members.push_back(this->self.process);
   std::ranges::sort(members);
   if (members == this->local_members) return;
@@ -260,7 +265,7 @@
   if (digest.process == all.self.process) return false;
   Peer* peer = all.FindOrAdd(digest);
   if (peer == nullptr) return false;
-  // A digest from before a restart may arrive after one from after it.
+  // A delayed digest from before a restart may arrive after one from after it.
   if (peer->former_incarnation == digest.incarnation) return false;
   const bool restarted =
       peer->digest && peer->digest->incarnation != digest.incarnation;
@@ -329,8 +334,9 @@
 }
 
 bool Membership::IsConfigurationWatcher() const {
-  // The first member that reaches the platform. If none does, the first of all
-  // keeps trying, so that the outage costs one caller per data centre.
+  // The first member that reaches the platform watches the configuration. If
+  // none does, the first member keeps trying, so that an outage causes calls
+  // from only one process per data centre.
   const State& all = *this->state;
   const auto reaches = [&all](const ProcessId& member) {
     if (member == all.self.process) return all.own.platform_reachable;
--- a/packages/core/src/membership_state.h
+++ b/packages/core/src/membership_state.h
@@ -11,37 +11,38 @@
 
 namespace mustardproxy::detail {
 
-/// Room that was promised to a peer and that its digest can not show yet.
+/// Resources of requests forwarded to a peer that its digest cannot show yet.
 struct ForwardReservation {
   Instant made;
   Resources room;
 };
 
-/// What one process knows of another.
+/// State that this process keeps about a peer.
 struct Peer {
   PeerDescription description;
   bool local = false;
-  /// Of several in one data centre the highest one is linked.
+  /// Among the peers of another data centre, heartbeats go to the one with the
+  /// highest weight.
   std::uint64_t link_weight = 0;
   bool alive = false;
-  /// Found gone and not yet reported by `TakeLostPeers`.
+  /// Found lost and not yet reported by `TakeLostPeers`.
   bool lost = false;
   std::optional<Digest> digest;
-  /// Digests received.
+  /// Number of digests received.
   std::uint64_t digests = 0;
-  /// Incarnation before the present one; its late digests are ignored.
+  /// Previous incarnation, whose delayed digests are ignored.
   std::optional<Incarnation> former_incarnation;
   Instant heard;
   Instant sent;
-  /// Sent since the peer was last heard.
+  /// Number of heartbeats sent since the last digest from the peer arrived.
   std::int32_t unanswered = 0;
-  /// Of these, reported as unreachable.
+  /// Number of these that were reported as unreachable.
   std::int32_t unreachable = 0;
   std::vector<ForwardReservation> reservations;
 };
 
-/// Drops promises that a digest which arrives at `now` shows already, or all of
-/// them if the peer has restarted.
+/// Removes reservations that a digest arriving at `now` already reflects, or
+/// all of them if the peer has restarted.
 void DropSeenReservations(Instant now, bool all,
                           std::vector<ForwardReservation>* reservations);
 
@@ -53,10 +54,10 @@
   PeerDescription self;
   MembershipOptions options;
   std::map<ProcessId, detail::Peer> peers;
-  /// As of the last `Tick`.
+  /// Own digest as of the last `Tick`.
   Digest own;
-  /// When something in `own` changed that peers must learn soon; the rest of a
-  /// digest may wait for the next heartbeat.
+  /// Time of the last change in `own` that peers must learn soon; other changes
+  /// may wait for the next heartbeat.
   Instant urgent_change_since;
   /// Intervals of heartbeats while nothing is queued.
   Duration idle_local_interval{0};
@@ -66,17 +67,17 @@
   std::uint64_t generation = 1;
   std::vector<ProcessId> local_members;
 
-  /// Interval of heartbeats to a live peer of that kind at present.
+  /// Current interval of heartbeats to the peer while it is alive.
   [[nodiscard]] Duration Interval(const detail::Peer& peer) const;
   [[nodiscard]] Duration IdleInterval(bool local) const;
   /// Interval at which an unanswered heartbeat is repeated.
   [[nodiscard]] Duration RetryInterval(bool local) const;
-  /// Silence after which the peer counts as gone.
+  /// Time without a digest after which the peer is considered lost.
   [[nodiscard]] Duration SilenceLimit(const detail::Peer& peer) const;
   /// When the next heartbeat to the peer is due.
   [[nodiscard]] Instant NextHeartbeatDue(const detail::Peer& peer) const;
-  /// Heartbeats go to all peers of the own data centre and to the chosen one of
-  /// each other.
+  /// @return the peers that heartbeats are sent to: all peers of this data
+  ///   centre and one of each other data centre
   [[nodiscard]] std::vector<detail::Peer*> LinkedPeers();
   [[nodiscard]] bool BetterLink(const detail::Peer& a,
                                 const detail::Peer& b) const;
@@ -85,11 +86,14 @@
   void RefreshIntervals();
   detail::Peer* Add(PeerDescription description);
   detail::Peer* FindOrAdd(const Digest& digest);
-  /// Local members that may forward at present, this one included.
+  /// @return the number of local members that may currently forward requests,
+  ///   including this one
   [[nodiscard]] std::int64_t CompetitorCount() const;
-  /// Time this process was not running is not held against its peers.
+  /// Prevents peers from being considered lost because this process was
+  /// suspended.
   void CompensateOwnPause(Instant now);
-  /// @return true if heartbeats may be due earlier because of the change
+  /// Records changes of the own digest.
+  /// @return true if heartbeats may be due earlier because of a change
   bool RecordDigestChange(Instant now, const Digest& own);
   void ExpireSilentPeers(Instant now);
   void RebuildLocalMembers();
--- a/packages/core/src/orphan_detector.h
+++ b/packages/core/src/orphan_detector.h
@@ -19,32 +19,35 @@
   std::int32_t owned = 0;
 };
 
-/// Tells when workers evidently have no owner although their preferred owner is
-/// alive: it can not reach them, and nobody else attaches because of it.
+/// Detects workers that have no owner although their preferred owner is alive:
+/// the preferred owner cannot reach them, and no other member attaches because
+/// the preferred owner is alive.
 ///
-/// How it shows: the digests. A member that owns fewer workers than those it is
-/// preferred for, while the members of the data centre together own fewer than
-/// there are, has left some without an owner. After `kDetectionDelay` of that,
-/// far longer than any hand-over takes, the others try the workers of that
-/// member, for as long as the window is open.
+/// Detection uses the digests. If a member owns fewer workers than it is
+/// preferred for, and the members of the data centre together own fewer workers
+/// than there are, that member has left some without an owner. After this has
+/// lasted for `kDetectionDelay`, which is far longer than any hand-over takes,
+/// the other members try to attach to the workers of that member until the
+/// attach window closes.
 ///
-/// Why this is sound: a try is an attach, so the worker decides; workers that
-/// do have an owner refuse it, because an owner which can't reach one of its
-/// workers keeps the leases of its others in force for at least as long
-/// (`kStayInForceTime`). A view that is wrong costs refused calls and, at
-/// worst, a change of owner, which the epochs make safe. A worker that nobody
-/// reached while the window was open waits for its preferred owner, which goes
-/// on trying, or for the next change of that member's count.
+/// This is safe because the worker decides whether an attach succeeds. Workers
+/// that have an owner refuse it, because an owner that cannot reach one of its
+/// workers keeps the leases of its other workers in force for at least as long
+/// (`kStayInForceTime`). A wrong view costs refused calls and, at worst, a
+/// change of owner, which the epochs make safe. A worker that no member reached
+/// during the window waits for its preferred owner, which keeps trying, or for
+/// the next change of that member's count.
 class OrphanDetector {
  public:
-  /// Time for which workers must have been missing.
+  /// Time for which workers must have been without an owner.
   static constexpr Duration kDetectionDelay = std::chrono::seconds(9);
-  /// Time for which they are then tried.
+  /// Time for which the other members then try to attach.
   static constexpr Duration kAttachWindow = std::chrono::seconds(50);
   static constexpr Duration kStayInForceTime = std::chrono::seconds(90);
 
-  /// Takes the counts of all live members but the own one.
-  /// @param missing workers that no live member owns, by all digests
+  /// Updates the counts of all live members except this one.
+  /// @param unowned number of workers that no live member owns, according to
+  ///   all digests
   void Update(Instant now, std::int32_t unowned,
               const std::vector<OwnerCount>& counts) {
     std::map<ProcessId, Shortage> next;
@@ -60,8 +63,8 @@
     this->shortages = std::move(next);
   }
 
-  /// @return since when workers that `preferred` should own are to be tried,
-  ///   if they are at `now`
+  /// @return the start of the window in which other members may attach to
+  ///   workers that `preferred` should own, if the window is open at `now`
   [[nodiscard]] std::optional<Instant> AttachWindowStart(
       Instant now, const ProcessId& preferred) const {
     const auto found = this->shortages.find(preferred);
@@ -71,7 +74,7 @@
     return open ? std::optional(window_start) : std::nullopt;
   }
 
-  /// @return true if any workers may have to be tried
+  /// @return true if any member owns fewer workers than it should
   [[nodiscard]] bool AnyShortage() const { return !this->shortages.empty(); }
 
  private:
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -14,21 +14,23 @@
 
 namespace {
 
-/// First and longest pause before a stand-in offers its worker.
+/// First and longest delay before a substitute owner hands a worker back.
 constexpr Duration kFirstHandBackDelay = std::chrono::minutes(2);
 constexpr Duration kMaxHandBackDelay = std::chrono::minutes(10);
-/// Renewals of an idle worker are never further apart.
+/// Maximum interval between renewals of an idle worker.
 constexpr Duration kMaxRenewalInterval = std::chrono::minutes(5);
-/// Failures in a row after which no start is sent.
+/// Number of consecutive unanswered calls after which no start is sent.
 constexpr std::int32_t kUnreachableCallsToSuspend = 2;
-/// Doublings after which a pause has surely reached its limit.
+/// Number of doublings after which a delay has always reached its limit.
 constexpr std::int32_t kMaxDoublings = 16;
-/// Time until a starting process asks again whether its members have settled.
+/// Interval at which a starting process checks whether the discovery of its
+/// members is complete.
 constexpr Duration kDiscoveryCheckInterval = std::chrono::milliseconds(100);
-/// A call that was reported unreachable may still be answered for so long.
+/// Time for which a call that was reported as unreachable may still be
+/// answered.
 constexpr Duration kLateAnswerWindow = std::chrono::seconds(5);
-/// Longest time for which a refused attach is put off; as long as the usual
-/// lease, so that it adds no calls there.
+/// Maximum delay of an attach after a refusal; equal to the default lease, so
+/// that it causes no additional calls with that lease.
 constexpr Duration kEarlyReleaseInterval = std::chrono::seconds(3);
 
 }  // namespace
@@ -70,10 +72,11 @@
 }
 
 Instant Ownership::State::CompleteCall(Instant now, Lease* lease) {
-  // Failure: a call is reported unreachable, the next one is sent, and then the
-  // first one's answer arrives. Taken for the answer to the second call, it
-  // would make the lease look longer than it is. Answers do not say which call
-  // they belong to, so each is taken for the oldest that may still be answered.
+  // Failure: a call is reported as unreachable, the next one is sent, and then
+  // the answer to the first call arrives. If it were matched to the second
+  // call, the lease would appear longer than it is. Answers do not identify
+  // their call, so each one is matched to the oldest call that may still be
+  // answered.
   Instant sent = lease->sent;
   const bool has_unresolved =
       lease->oldest_unresolved &&
@@ -88,9 +91,10 @@
 
 void Ownership::State::ApplyReport(Instant sent, const WorkerReport& report,
                                    Lease* lease) {
-  // Failure: a busy worker's reports name what runs and never what ended, since
-  // those answers came with their starts. The interval would grow as for long
-  // tasks, and the end of a short detached one be learnt seconds late.
+  // Failure: the reports of a busy worker list running tasks but no ended ones,
+  // because those answers arrived with their starts. The interval would grow as
+  // for long tasks, and the end of a short detached task would be learnt
+  // seconds late.
   const bool started = lease->start_sent >= lease->granted;
   lease->granted = sent;
   lease->unreachable = 0;
@@ -98,7 +102,7 @@
   lease->incarnation = report.incarnation;
   lease->ended_sequence = report.ended_sequence;
   const bool was_active = lease->active;
-  // A start that was sent after the call may be missing in its report.
+  // A start sent after the call may be missing from its report.
   lease->active = !report.running.empty() || lease->start_sent >= sent;
   lease->long_tasks =
       std::ranges::any_of(report.running, [this](const RunningTask& task) {
@@ -106,7 +110,8 @@
       });
   const bool new_activity =
       started || !report.ended.empty() || (lease->active && !was_active);
-  // Growing slowly keeps the delay of a task's end in proportion to its run.
+  // Slow growth keeps the delay in learning the end of a task proportional to
+  // its run time.
   lease->interval =
       new_activity ? this->options.renew_interval : lease->interval * 3 / 2;
   lease->interval = std::clamp(lease->interval, this->options.renew_interval,
@@ -192,7 +197,7 @@
   if (lease->phase == LeasePhase::kOwned) {
     return report.incarnation != lease->incarnation;
   }
-  // An answer that comes after its call was given up on is dropped; the next
+  // An answer that arrives after its call was abandoned is discarded; the next
   // attach repeats the epoch and is accepted again.
   if (lease->phase != LeasePhase::kAttaching) return false;
   const Instant sent = all.CompleteCall(now, lease);
@@ -228,27 +233,30 @@
   const bool had = lease->phase != LeasePhase::kAttaching;
   const bool ours =
       refused.holder == all.self && refused.highest == lease->epoch;
-  // A stop of a task that is gone is refused although the lease stands.
+  // A worker refuses to stop a task that is gone, although the lease is valid.
   if (lease->phase == LeasePhase::kOwned && ours) return false;
   lease->in_flight = false;
   lease->unreachable = 0;
-  // A worker that was restarted has forgotten its epochs. Ours go on growing,
-  // or a start from before the restart could match the new lease.
+  // A restarted worker has forgotten its epochs. The epochs of this process
+  // keep growing; otherwise a start from before the restart could match the new
+  // lease.
   lease->highest = std::max(lease->highest, refused.highest);
   const bool taken = lease->phase == LeasePhase::kOwned &&
                      all.Preferred(*lease) && refused.highest > lease->epoch;
   lease->contested = lease->contested || taken;
-  // The first refusal only tells the epoch, so the next attach may follow at
-  // once; after that two processes may be racing for the worker.
+  // The first refusal only reveals the epoch, so the next attach may follow
+  // immediately; after that, two processes may be competing for the worker.
   const bool free = refused.lease_left <= Duration(0);
   const bool first = lease->refusals++ == 0;
   const Duration pause = all.RetryDelay(lease->refusals - 1, all.options.lease);
-  // Failure: a process in a graceful stop releases its workers long before the
-  // lease runs out, and its successor, refused once before that, would leave
-  // them idle for the rest of the lease. So a long lease is asked about again.
+  // Failure: a process that shuts down gracefully releases its workers long
+  // before their leases end. Its successor, refused once before the release,
+  // would leave them idle for the rest of the lease. A worker with a long
+  // remaining lease is therefore asked again earlier.
   const Duration wait = std::min(refused.lease_left, kEarlyReleaseInterval);
   lease->call_not_before = now + wait + (free && first ? Duration(0) : pause);
-  // A worker that has an owner after all is left alone.
+  // The worker turned out to have an owner, so this process does not compete
+  // for it.
   if (!free && !all.Preferred(*lease)) {
     lease->call_not_before = now + OrphanDetector::kAttachWindow;
   }
@@ -276,9 +284,10 @@
   const Duration most = all.options.max_unreachable_interval;
   const Duration pause = all.RetryDelay(lease->unreachable - 1, most);
   lease->call_not_before = std::max(lease->call_not_before, now + pause);
-  // Nothing that reached the worker before the silence can have kept its lease
-  // in force for longer than this. One lost call is no loss: starts renew the
-  // lease too, and an idle one may have lapsed long ago without harm.
+  // No call that reached the worker before it stopped answering can have
+  // extended its lease beyond this time. A single lost call does not count as a
+  // loss: starts renew the lease too, and the lease of an idle worker may have
+  // expired long ago without harm.
   const bool lapsed = now >= lease->unreachable_since + all.options.lease;
   const bool releasing = lease->phase == LeasePhase::kReleasing;
   const bool lost = releasing || (lease->phase == LeasePhase::kOwned && lapsed);
@@ -319,8 +328,8 @@
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr) return;
   lease->start_answered = now;
-  // The timer is not set back here, as this is the path of each answer; when it
-  // runs out, the renewal is found not due yet.
+  // The timer is not reset here, because this runs for every answer; when it
+  // expires, the renewal is found not to be due yet.
   this->state->MarkActive(now, lease);
 }
 
@@ -337,11 +346,11 @@
   const Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->description.leaving) return std::nullopt;
   if (lease->unreachable >= kUnreachableCallsToSuspend) return std::nullopt;
-  // Failure: this process was stopped past the end of its lease, and another
-  // one has attached since. The worker refuses the old epoch. Where it does
-  // not, the lease counts from before its request was sent, so it ends here
-  // before it ends at the worker. That leaves the time between this check and
-  // the send, which only the worker could guard.
+  // Failure: this process was suspended beyond the end of its lease, and
+  // another one has attached since. The worker refuses the old epoch. For
+  // workers that do not check it, the lease is counted from before its request
+  // was sent, so it ends here before it ends at the worker. Only the worker
+  // could guard the time between this check and the send.
   const bool in_force = now < lease->granted + this->state->options.lease;
   if (!this->state->options.worker_checks_epoch && !in_force) {
     return std::nullopt;
--- a/packages/core/src/ownership_plan.cc
+++ b/packages/core/src/ownership_plan.cc
@@ -15,19 +15,20 @@
 
 namespace {
 
-/// A call that has had no result for so long is taken for lost, so that one
-/// report that never comes can not block a worker for good.
+/// A call without a result is considered lost after this time, so that a
+/// missing report cannot block a worker permanently.
 constexpr Duration kMaxCallTime = std::chrono::seconds(5);
-/// Starts that were on their way when a worker began to leave show in reports
-/// after this time.
+/// Starts in transit when a worker began to leave appear in its reports after
+/// this time.
 constexpr Duration kDrainGrace = std::chrono::seconds(2);
-/// Between the tries of two members for the same ownerless worker.
+/// Delay between the attach attempts of two members for the same worker without
+/// an owner.
 constexpr Duration kAttachStagger = std::chrono::seconds(3);
 constexpr Duration kOrphanCheckInterval = std::chrono::seconds(1);
-/// Changes of the members are seen within this time also by a caller that ticks
-/// only at wake-ups.
+/// Interval of membership checks, so that a caller that ticks only at wake-ups
+/// also notices changes of the members within this time.
 constexpr Duration kMemberCheckInterval = std::chrono::milliseconds(250);
-/// Shortest interval to which renewals of an idle worker stretch.
+/// Minimum of the paced renewal interval of idle workers.
 constexpr Duration kMinIdleRenewalInterval = std::chrono::seconds(10);
 
 bool Unreachable(const Lease& lease) { return lease.unreachable >= 2; }
@@ -57,7 +58,8 @@
   }
   for (Lease& lease : this->leases) {
     if (!moved.contains(lease.description.rack)) continue;
-    // What was learnt of the former preferred owner does not hold for this one.
+    // State that concerns the former preferred owner does not apply to the new
+    // one.
     lease.substitute = false;
     lease.hand_back_delay = Duration(0);
     lease.call_not_before = std::min(lease.call_not_before, now);
@@ -154,8 +156,8 @@
 
 Instant Ownership::State::OrphanAttachDue(const Lease& lease,
                                           Instant window_start) const {
-  // The others try one after the other, so that the first one that reaches the
-  // worker has it before the next one asks.
+  // The other members try one after another, so that the first one that reaches
+  // the worker owns it before the next one tries.
   const std::string_view worker = lease.description.id.Text();
   const std::uint64_t own = detail::RendezvousWeight(worker, this->self.Text());
   const auto before = std::ranges::count_if(
@@ -188,13 +190,14 @@
 Duration Ownership::State::LongestRenewalInterval(Instant now,
                                                   const Lease& lease) const {
   if (this->MustStayInForce(now, lease)) return this->options.lease / 3;
-  // A task's lease must not lapse, and its end is learnt from a report.
+  // A task's lease must not expire, and its end is learnt from a report.
   const bool report_needed =
       lease.active || lease.description.leaving || !this->starts_reported;
   if (report_needed) return this->options.task_lease / 3;
-  // An idle worker's lease may lapse: the next start is accepted all the same
-  // unless somebody else has attached, and then it is refused, not run. So a
-  // crash frees the idle workers at once, and quiet costs few bytes.
+  // The lease of an idle worker may expire: the next start is still accepted
+  // unless another process has attached, in which case it is refused and not
+  // run. A crash therefore frees idle workers immediately, and an idle cell
+  // uses few bytes.
   return detail::PacedInterval(
       kMinIdleRenewalInterval, static_cast<std::int64_t>(this->owned),
       detail::kRenewalBytes, this->options.renewal_bytes_per_second);
@@ -204,8 +207,9 @@
   if (lease.unreachable > 0) return lease.call_not_before;
   const Duration longest = this->LongestRenewalInterval(now, lease);
   const Duration interval = std::min(lease.interval, longest);
-  // Answered starts renew the lease, so no heartbeat is needed while they come;
-  // but only a report tells the end of detached tasks and renews their leases.
+  // Answered starts renew the lease, so no heartbeat is needed while they
+  // arrive; but only a report delivers the end of detached tasks and renews
+  // their leases.
   const bool postponed = this->options.worker_checks_epoch &&
                          !lease.long_tasks && lease.start_answered > lease.sent;
   if (!postponed) return lease.sent + interval;
@@ -247,8 +251,8 @@
 }
 
 void Ownership::State::Attach(Instant now, Lease* lease, Actions* actions) {
-  // An attach that was not answered is repeated with its epoch: if the worker
-  // had accepted it, it accepts the repeat.
+  // An unanswered attach is repeated with the same epoch: if the worker had
+  // accepted it, it also accepts the repetition.
   const bool repeat = lease->epoch > lease->highest;
   if (!repeat) {
     lease->epoch = this->NextEpoch(lease->highest);
--- a/packages/core/src/ownership_state.h
+++ b/packages/core/src/ownership_state.h
@@ -14,66 +14,71 @@
 namespace mustardproxy::detail {
 
 enum class LeasePhase {
-  /// Not owned, no call under way.
+  /// Not owned, no call in progress.
   kNone,
   kAttaching,
   kOwned,
   kReleasing,
 };
 
-/// What one process knows of a worker and its lease.
+/// State that this process keeps about a worker and its lease.
 struct Lease {
   WorkerDescription description;
   LeasePhase phase = LeasePhase::kNone;
-  /// Of the lease held, or of the last attach sent.
+  /// Epoch of the lease held, or of the last attach sent.
   Epoch epoch = 0;
-  /// Highest one that the worker is known to have seen.
+  /// Highest epoch that the worker is known to have seen.
   Epoch highest = 0;
   Incarnation incarnation = 0;
   std::uint64_t ended_sequence = 0;
 
-  /// A call is under way since `sent`.
+  /// A call has been in progress since `sent`.
   bool in_flight = false;
   Instant sent;
-  /// When the oldest call was sent that was reported unreachable and may yet
-  /// be answered; see `Ownership::State::CompleteCall`.
+  /// Time at which the oldest call was sent that was reported as unreachable
+  /// but may still be answered; see `Ownership::State::CompleteCall`.
   std::optional<Instant> oldest_unresolved;
-  /// The lease in force was asked for at this moment or later.
+  /// The current lease was requested at this time or later.
   Instant granted;
 
-  /// Calls without an answer in a row, and when the first of them was sent.
+  /// Number of consecutive calls without an answer, and the time at which the
+  /// first of them was sent.
   std::int32_t unreachable = 0;
   Instant unreachable_since;
-  /// Attaches refused in a row.
+  /// Number of consecutive refused attaches.
   std::int32_t refusals = 0;
-  /// No attach before.
+  /// Earliest time of the next attach, or of the next renewal while calls are
+  /// unanswered.
   Instant call_not_before;
 
-  /// Interval of renewals; grows while they bring nothing new.
+  /// Interval of renewals; grows while they report no activity.
   Duration interval{0};
   Instant start_sent;
   Instant start_answered;
-  /// A task may be running there.
+  /// A task may be running on the worker.
   bool active = false;
-  /// A task was running there for longer than the shortest interval.
+  /// A task had been running for longer than the shortest interval.
   bool long_tasks = false;
 
-  /// Another process took the worker although this one is preferred: their
-  /// views of the members differ. Until this one's view changes the lease is
-  /// kept in force, or an idle worker would change hands without end.
+  /// Another process took the worker although this one is preferred, because
+  /// their views of the members differ. The lease is kept in force until the
+  /// view of this process changes; otherwise an idle worker would change owners
+  /// endlessly.
   bool contested = false;
-  /// Owned though another member is preferred, which could not reach it.
+  /// Owned although another member is preferred, because that member could not
+  /// reach the worker.
   bool substitute = false;
-  /// When a stand-in offers the worker to the preferred owner, and the pause
-  /// before the next offer.
+  /// Time at which a substitute owner hands the worker back to the preferred
+  /// owner, and the delay before the next hand-back.
   Instant hand_back_at;
   Duration hand_back_delay{0};
   std::optional<Instant> leaving_since;
-  /// Left and empty; not attached any more.
+  /// Leaving and empty; the worker is not attached again.
   bool drained = false;
 };
 
-/// Who should own the workers of a rack, and since when.
+/// Preferred owner of the workers of a rack, and the time since which it is
+/// preferred.
 struct RackPreference {
   ProcessId owner;
   Instant since;
@@ -95,14 +100,14 @@
   detail::OrphanDetector orphan_detector;
   ProcessId self;
   std::uint64_t generation = 0;
-  /// The host list or the members have changed: all timers are set anew.
+  /// The host list or the members have changed: all timers must be recomputed.
   bool reschedule = true;
   bool stopped = false;
   bool discovery_complete = false;
-  /// `OnStartSent` is in use.
+  /// The caller reports starts with `OnStartSent`.
   bool starts_reported = false;
   std::size_t owned = 0;
-  /// Until then leases of idle workers are kept in force; see
+  /// Leases of idle workers are kept in force until this time; see
   /// `MustStayInForce`.
   Instant stay_in_force_until;
   std::int32_t unreachable = 0;
@@ -114,7 +119,7 @@
   [[nodiscard]] Duration Jitter(Duration most);
   void SetTimer(const detail::Lease& lease, std::optional<Instant> at);
 
-  // What to do next with a worker (ownership_plan.cc).
+  // Scheduling of the next call to each worker (ownership_plan.cc).
   void RescheduleAll(Instant now, const Membership& membership);
   void UpdateRackPreferences(Instant now, const Membership& membership);
   void CheckOrphans(Instant now, const Membership& membership);
@@ -136,27 +141,30 @@
 
   [[nodiscard]] std::vector<detail::OwnerCount> CountOwners(
       const Membership& membership) const;
-  /// Keeps other leases in force while one of ours can not be reached.
+  /// Keeps the leases of the other workers in force while one worker of this
+  /// process cannot be reached.
   void UpdateUnreachable(Instant now);
 
-  // Calls.
+  // Calls to workers.
   void RunDueAction(Instant now, detail::Lease* lease, Actions* actions);
   void AbandonCall(Instant now, detail::Lease* lease);
-  /// @return the lowest epoch above `highest` that is this process's own
+  /// @return the lowest epoch above `highest` that belongs to this process
   [[nodiscard]] Epoch NextEpoch(Epoch highest) const;
   void Attach(Instant now, detail::Lease* lease, Actions* actions);
   void Renew(Instant now, detail::Lease* lease, Actions* actions);
   void Release(Instant now, detail::Lease* lease, Actions* actions);
 
-  // Their answers.
-  /// Ends the call under way and says when it was sent at the earliest.
+  // Answers of workers.
+  /// Ends the call in progress.
+  /// @return the earliest time at which the answered call can have been sent
   [[nodiscard]] Instant CompleteCall(Instant now, detail::Lease* lease);
   void ApplyReport(Instant sent, const WorkerReport& report,
                    detail::Lease* lease);
   void MarkActive(Instant now, detail::Lease* lease);
   void SetPhase(detail::Lease* lease, detail::LeasePhase phase);
   void MarkLost(Instant now, detail::Lease* lease);
-  /// @return `first` doubled `times` times up to `most`, then cut at random
+  /// @return the retry interval doubled `times` times, at most `most`, with
+  ///   jitter over its upper half
   [[nodiscard]] Duration RetryDelay(std::int32_t times, Duration most);
 };
 
--- a/packages/core/src/pacing.h
+++ b/packages/core/src/pacing.h
@@ -8,21 +8,22 @@
 
 namespace mustardproxy::detail {
 
-// Control messages must stay near 2 KB a second per entry process, also at
-// 1,200 workers in 8 data centres. With a fixed interval they grow with slope
+// Control messages must stay near 2 KB per second and entry process, even with
+// 1,200 workers in 8 data centres. With fixed intervals they grow linearly:
 //   heartbeats: 320 B x (members of the data centre - 1) / interval
 //   renewals:   700 B x (workers owned) / interval
-// so 8 members at 500 ms and 19 workers at 700 ms would take 4.5 + 19 KB/s.
-// Instead each kind has a budget, and its interval stretches with the number of
-// receivers: flat up to the budget's limit, then the interval has the slope
+// so that 8 members at 500 ms and 19 workers at 700 ms would use 4.5 + 19 KB/s.
+// Each kind therefore has a budget, and its interval grows with the number of
+// receivers. It is constant up to the budget's limit; beyond that it grows by
 //   local heartbeats 0.36 s per member (up to 2.5 s, that is 8 members),
-//   links 0.8 s per data centre, idle renewals 1.2 s per owned worker.
-// Workers that may be running something are renewed at least three times in a
-// task's lease whatever it costs: 210 B/s for each at 10 s.
+//   heartbeats to other data centres 0.8 s per data centre,
+//   renewals of idle workers 1.2 s per owned worker.
+// Workers that may be running a task are renewed at least three times within a
+// task's lease regardless of the budget: 210 B/s for each at 10 s.
 // testing/bench_control measures all of this.
-// What that costs in time is bounded by the callers: a heartbeat that gets no
-// answer is repeated at the short interval, and a stretched renewal only lets
-// an idle worker's lease lapse, which its epoch makes harmless.
+// The callers limit the resulting delays: a heartbeat that is not answered is
+// repeated at the short interval, and a lengthened renewal interval only lets
+// the lease of an idle worker expire, which its epoch makes harmless.
 
 /// Bytes of one heartbeat and its answer: two digests with their framing.
 inline constexpr std::int64_t kHeartbeatBytes = 320;
--- a/packages/core/src/rendezvous_hash.h
+++ b/packages/core/src/rendezvous_hash.h
@@ -6,7 +6,7 @@
 
 namespace mustardproxy::detail {
 
-/// Spreads the bits of `value`; the finalizer of SplitMix64.
+/// Mixes the bits of `value` with the finalizer of SplitMix64.
 constexpr std::uint64_t MixBits(std::uint64_t value) {
   value ^= value >> 30U;
   value *= 0xbf58476d1ce4e5b9ULL;
@@ -16,7 +16,8 @@
   return value;
 }
 
-/// 64-bit FNV-1a. Not `std::hash`, since all processes must agree on it.
+/// 64-bit FNV-1a hash. `std::hash` is not used, because all processes must
+/// compute the same value.
 constexpr std::uint64_t HashText(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char character : text) {
@@ -26,8 +27,8 @@
   return hash;
 }
 
-/// Weight of `node` for `key` in rendezvous hashing; the highest one wins. When
-/// a node goes, only the keys that it had move.
+/// Weight of `node` for `key` in rendezvous hashing; the node with the highest
+/// weight is chosen. When a node is removed, only its keys move.
 constexpr std::uint64_t RendezvousWeight(std::string_view key,
                                          std::string_view node) {
   return MixBits(HashText(key) ^ MixBits(HashText(node)));
--- a/packages/core/src/retry_budget.cc
+++ b/packages/core/src/retry_budget.cc
@@ -5,9 +5,9 @@
 namespace mustardproxy {
 namespace {
 
-/// Unused retries are kept for as many first attempts as this.
+/// Number of first attempts whose unused retries are retained.
 constexpr double kBurstRequests = 1000;
-/// Retries of the minimum rate are kept for as long as this.
+/// Time for which unused retries of the minimum rate are retained.
 constexpr double kBurstSeconds = 5;
 
 double Seconds(Duration duration) {
@@ -39,7 +39,7 @@
   const double earned =
       Seconds(now - this->refilled) * this->minimum_per_second;
   this->refilled = now;
-  // At least one whole retry must fit, also where the minimum rate is low.
+  // The limit must allow at least one whole retry, even at a low minimum rate.
   const double most =
       std::max({this->minimum_per_second * kBurstSeconds, 1.0, this->tokens});
   this->tokens = std::min(this->tokens + earned, most);
--- a/packages/core/src/worker_health.cc
+++ b/packages/core/src/worker_health.cc
@@ -13,21 +13,25 @@
 
 namespace {
 
-/// Distinct healthy workers on which a request fails before it is at fault.
+/// Number of distinct healthy workers on which a request must fail before it is
+/// considered faulty.
 constexpr std::size_t kWorkersToFaultRequest = 3;
-/// Distinct workers on which a service fails before it can be at fault.
+/// Number of distinct workers on which a service must fail before it can be
+/// considered faulty.
 constexpr std::size_t kWorkersToFaultService = 3;
-/// A success this recent shows that the service works.
+/// A success within this time shows that the service works.
 constexpr Duration kServiceSuccessWindow = std::chrono::seconds(10);
-/// Share of a worker that is probed: one of eight slots.
+/// Share of a worker's slots that is used for probes: one of eight.
 constexpr double kProbeShare = 0.125;
-/// Successful probes in a row that begin the return.
+/// Number of consecutive successful probes after which the worker starts to
+/// return.
 constexpr std::int32_t kProbesToReturn = 3;
-/// The share grows back in this many steps.
+/// Number of steps in which the share grows back.
 constexpr std::int32_t kReturnSteps = 8;
-/// Failures in a row that eject a worker which is still returning.
+/// Number of consecutive failures after which a returning worker is ejected.
 constexpr std::int32_t kFailuresWhileReturning = 2;
-/// Entries kept of one row; more add nothing to the evidence.
+/// Maximum number of consecutive failures that are stored; more do not change
+/// the decision.
 constexpr std::size_t kMaxConsecutiveFailures = 8;
 constexpr std::size_t kMaxTrackedRequests = 20'000;
 constexpr std::size_t kMaxServices = 4'096;
@@ -43,7 +47,7 @@
 }  // namespace
 
 bool WorkerHealth::State::ServiceAtFault(const ServiceId& service) const {
-  // Failure: a broken release of one service fails on every worker. Each worker
+  // Failure: a broken release of one service fails on every worker; each worker
   // would be ejected for it, and the other services would lose their workers.
   // It shows as one service that fails on most workers and succeeds on none.
   const auto found = this->services.find(service);
@@ -86,7 +90,7 @@
     const RequestId& request) const {
   const auto found = this->requests.find(request);
   if (found == this->requests.end()) return false;
-  // A worker that fails other requests too is no witness against this one.
+  // A worker that also fails other requests does not count as healthy.
   const std::int32_t max_other_failures = this->options.failures_to_eject / 2;
   const auto healthy = [&](const WorkerId& worker) {
     const auto record = this->workers.find(worker);
@@ -108,8 +112,8 @@
   const auto all = static_cast<double>(this->workers.size());
   const auto cap =
       static_cast<std::int64_t>(all * this->options.max_ejected_share);
-  // With a few workers the share rounds to none; one that fails everything must
-  // be kept out all the same, as long as another is left.
+  // With few workers the share rounds down to zero; a worker that fails every
+  // task must still be ejected as long as another one is left.
   const std::int64_t least = this->workers.size() >= 2 ? 1 : 0;
   return ejected < std::max(cap, least);
 }
@@ -129,8 +133,9 @@
     case HealthStage::kHealthy:
       break;
   }
-  // The cap on ejections keeps it in, yet a worker that fails fast is always
-  // free and would draw most of the work: it gets no more than a probe.
+  // The limit on ejections keeps the worker in service, but a worker that fails
+  // fast is always free and would attract most of the work: it gets no more
+  // than a probe.
   if (this->Failing(record)) return {true, kProbeShare};
   return {true, 1.0};
 }
@@ -229,9 +234,10 @@
 
 void WorkerHealth::State::DiscountRequest(Instant now,
                                           const RequestId& request) {
-  // Failure: one bad request, tried again and again, fails on good workers and
-  // would eject them one after the other. Once it is known to be at fault, its
-  // failures are struck from the rows, and ejections that rested on them end.
+  // Failure: a faulty request that is retried repeatedly fails on healthy
+  // workers and would eject them one after another. Once the request is known
+  // to be faulty, its failures are removed from the workers' records, and
+  // ejections that were based on them end.
   const std::set<WorkerId> failed_on = this->requests[request].failed_on;
   for (const WorkerId& worker : failed_on) {
     this->DiscountRequestOn(now, request, worker);
@@ -277,7 +283,8 @@
   }
   all.ClearFailures(worker, &record);
   all.dirty.insert(worker);
-  // An answer that was under way when the worker was ejected proves nothing.
+  // An answer that was in transit when the worker was ejected does not show
+  // that it has recovered.
   if (record.stage != HealthStage::kEjected || now < record.ejected_until) {
     return;
   }
@@ -297,7 +304,7 @@
   all.Track(request, worker);
   all.dirty.insert(worker);
   detail::RequestRecord& tracked = all.requests[request];
-  // What is known to be at fault itself says nothing about a worker.
+  // The failure of a faulty request says nothing about the worker.
   if (tracked.at_fault) return;
   all.AddFailure(worker, {service, request}, &record);
   tracked.at_fault = all.FailedOnHealthyWorkers(request);
@@ -310,7 +317,8 @@
                                          HealthRecord* record) {
   record->probes_succeeded = 0;
   if (record->stage == HealthStage::kEjected) {
-    // A failure that was under way at the ejection is no probe.
+    // The failure of a task that was started before the ejection is not a
+    // probe.
     if (now >= record->ejected_until) this->Eject(now, worker, record);
     return;
   }
--- a/packages/core/src/worker_health_state.h
+++ b/packages/core/src/worker_health_state.h
@@ -13,16 +13,16 @@
 
 namespace mustardproxy::detail {
 
-/// One failure of a row that no success has ended yet.
+/// One of the consecutive failures since the last success.
 struct CountedFailure {
   ServiceId service;
   RequestId request;
 };
 
-/// Stages of a worker on its way out and back.
+/// Stages of the ejection and return of a worker.
 enum class HealthStage {
   kHealthy,
-  /// Gets nothing until `ejected_until`; from then on a few probes.
+  /// Gets no tasks until `ejected_until`, and from then on a few probes.
   kEjected,
   /// Probes have succeeded; its share grows.
   kReturning,
@@ -34,20 +34,20 @@
   Instant ejected_until;
   /// Length of the last ejection.
   Duration ejection{0};
-  /// The last ejection followed a failed probe, not a row of failures.
+  /// The last ejection followed a failed probe and not a series of failures.
   bool failed_probe = false;
   std::int32_t probes_succeeded = 0;
   Instant return_began;
   WorkerAvailability reported_availability;
 };
 
-/// Where a service fails and whether it succeeds anywhere.
+/// Workers on which a service fails, and the time of its last success.
 struct ServiceRecord {
   std::set<WorkerId> failing;
   std::optional<Instant> succeeded;
 };
 
-/// Where a request failed.
+/// Workers on which a request has failed.
 struct RequestRecord {
   std::set<WorkerId> failed_on;
   bool at_fault = false;
@@ -62,18 +62,20 @@
   std::map<WorkerId, detail::HealthRecord> workers;
   std::map<ServiceId, detail::ServiceRecord> services;
   std::unordered_map<RequestId, detail::RequestRecord> requests;
-  /// Requests in order of their first failure, to bound `requests`.
+  /// Requests in order of their first failure, used to limit the size of
+  /// `requests`.
   std::deque<RequestId> tracked;
   /// Latest time seen, for the time-driven part of `NextWakeup`.
   Instant latest_time;
-  /// Workers to look at in the next `TakeChanged`.
+  /// Workers to check in the next `TakeChanged`.
   std::set<WorkerId> dirty;
-  /// Workers whose standing changes with time alone.
+  /// Workers whose availability changes with time alone.
   std::set<WorkerId> time_dependent;
 
   [[nodiscard]] bool ServiceAtFault(const ServiceId& service) const;
   [[nodiscard]] bool FailedOnHealthyWorkers(const RequestId& request) const;
-  /// Failures of the row that speak against the worker.
+  /// @return the number of consecutive failures that are attributed to the
+  ///   worker
   [[nodiscard]] std::int32_t AttributedFailures(
       const detail::HealthRecord& record) const;
   [[nodiscard]] std::int32_t AttributedFailuresWithout(
@@ -88,11 +90,12 @@
   void AddFailure(const WorkerId& worker, detail::CountedFailure failure,
                   detail::HealthRecord* record);
   void ClearFailures(const WorkerId& worker, detail::HealthRecord* record);
-  /// Ejects the worker if its row or a failed probe asks for it.
+  /// Ejects the worker after enough consecutive failures or after a failed
+  /// probe.
   void EjectIfFailing(Instant now, const WorkerId& worker,
                       detail::HealthRecord* record);
   void Eject(Instant now, const WorkerId& worker, detail::HealthRecord* record);
-  /// Strikes a request's failures from the rows of the workers.
+  /// Removes the failures of a faulty request from the workers' records.
   void DiscountRequest(Instant now, const RequestId& request);
   void DiscountRequestOn(Instant now, const RequestId& request,
                          const WorkerId& worker);
