--- a/packages/core/tests/deferred_store_recovery_test.cc
+++ b/packages/core/tests/deferred_store_recovery_test.cc
@@ -73,9 +73,9 @@
 
 BOOST_AUTO_TEST_SUITE(deferred_store_recovery)
 
-// An entry process dies with four pieces of deferred work in its journal. Its
-// peer adopts the journal: what has ended must not run again, the rest must be
-// found with the workers that may be running it.
+// An entry process fails with four deferred requests in its journal, and its
+// peer adopts the journal. Requests that have ended must not run again; the
+// others must be found together with the workers that may be running them.
 BOOST_AUTO_TEST_CASE(recovery_returns_unfinished_work_in_order_of_acceptance) {
   DeferredStore store;
   const auto batches = Batches(
@@ -114,9 +114,10 @@
   BOOST_TEST((*store.Find(RequestId("a"))->ended == kStart));
 }
 
-// A review runs a second time after its process died. The end was pending when
-// the owner took a snapshot, so the journal holds the end first and then the
-// snapshot's acceptance; the batch with the first acceptance is trimmed.
+// Failure: a request runs a second time after its process has failed. Its end
+// was pending when the owner took a snapshot, so the journal holds the end
+// first and then the acceptance from the snapshot; the batch with the first
+// acceptance has been trimmed.
 BOOST_AUTO_TEST_CASE(an_end_recorded_before_a_snapshot_is_kept) {
   DeferredStore store;
   const auto batches =
--- a/packages/core/tests/journal_failure_test.cc
+++ b/packages/core/tests/journal_failure_test.cc
@@ -34,9 +34,10 @@
 
 BOOST_AUTO_TEST_SUITE(journal_failures)
 
-// A caller has its 202 twice over, or never, when an append is repeated with
-// other contents: the reply to the first append is lost although the write took
-// effect, more records arrive, and the repeat meets its own earlier write.
+// Failure: an append is repeated with different contents, so a request is
+// acknowledged twice or never. The reply to the first append is lost although
+// the write took effect, more records arrive, and the retry finds its own
+// earlier write.
 BOOST_AUTO_TEST_CASE(an_uncertain_append_is_sent_again_unchanged) {
   Journal journal(JournalId("p1.a"), 1, JournalOptions{}, 7);
   BOOST_TEST(journal.Append(Record("p1.a.1")) == 1U);
@@ -69,8 +70,8 @@
   BOOST_TEST(TickOne(&journal, kStart).batch_id != first.batch_id);
 }
 
-// The platform is away for a minute. Repeats must stay within the rate, and the
-// age of the oldest record must show the outage.
+// The platform is unreachable for one minute. Retries must stay within the
+// rate, and the age of the oldest record must show the outage.
 BOOST_AUTO_TEST_CASE(retries_in_an_outage_stay_within_the_rate) {
   JournalOptions options;
   options.appends_per_second = 2;
@@ -90,9 +91,9 @@
   BOOST_TEST((journal.OldestPending(kStart + 60s) == 60s));
 }
 
-// An owner was paused for long and its journal adopted by a peer. When it goes
-// on, its append finds the adopter's record. It must tell no caller that
-// anything pending is durable, and take nothing more.
+// A journal was adopted by a peer while its owner was suspended. When the owner
+// resumes, its append finds the adopter's record. It must not report pending
+// records as durable, and it must accept no further records.
 BOOST_AUTO_TEST_CASE(a_fenced_journal_accepts_no_records) {
   Journal journal(JournalId("p1.a"), 5, JournalOptions{}, 7);
   BOOST_TEST(journal.LastSequence() == 4U);
@@ -110,8 +111,8 @@
   BOOST_TEST((journal.NextWakeup() == Instant::max()));
 }
 
-// The report of an earlier append comes a second time. It must not make the
-// records of the batch that is in flight now durable.
+// The report of an earlier append arrives a second time. It must not mark the
+// records of the batch in flight as durable.
 BOOST_AUTO_TEST_CASE(a_duplicate_report_has_no_effect) {
   Journal journal(JournalId("p1.a"), 1, JournalOptions{}, 7);
   BOOST_TEST(journal.Append(Record("p1.a.1")) == 1U);
--- a/packages/core/tests/journal_pacing_test.cc
+++ b/packages/core/tests/journal_pacing_test.cc
@@ -80,7 +80,7 @@
   options.burst = 5;
   Journal journal = MakeJournal(options);
   std::uint64_t sent = 0;
-  // Ten seconds with a record and an instant reply in every millisecond.
+  // Ten seconds with one record and an immediate reply in every millisecond.
   for (Instant now = kStart; now < kStart + 10s; now += 1ms) {
     BOOST_TEST_REQUIRE(journal.Append(Accepted(10)) != 0U);
     Actions actions;
@@ -142,8 +142,8 @@
 }
 
 // During an outage of the platform nothing is appended. New work must be
-// refused at the bound, but the end of work that was accepted before must
-// still find room, or its result would be lost.
+// refused at the limit, but the end of work accepted earlier must still be
+// stored; otherwise its result would be lost.
 BOOST_AUTO_TEST_CASE(the_bound_on_pending_bytes_refuses_new_work_first) {
   JournalOptions options;
   options.max_pending_bytes = 4000;
--- a/packages/core/tests/membership_failure_test.cc
+++ b/packages/core/tests/membership_failure_test.cc
@@ -38,7 +38,8 @@
   return {{ProcessId(self), kHome}, peers, {}};
 }
 
-/// Which of three members keep the watch, by the views of each.
+/// @return the members that consider themselves the configuration watcher, each
+///   according to its own view
 std::string ConfigurationWatchers(const std::vector<Digest>& digests) {
   std::string watchers;
   for (const Digest& self : digests) {
@@ -58,10 +59,10 @@
 BOOST_AUTO_TEST_SUITE(membership_failure)
 
 BOOST_AUTO_TEST_CASE(a_restart_is_detected_and_late_digests_are_ignored) {
-  // Story: a process crashes and comes back under its name. A heartbeat of its
-  // former run, held up on the way, arrives after the first one of the new run.
-  // Were it believed, its orphaned journal would seem to be held by a live
-  // process, and the deferred work in it would never be adopted.
+  // Failure: a process restarts under the same name, and a delayed heartbeat of
+  // its former run arrives after the first one of the new run. If it were
+  // accepted, the orphaned journal would appear to be held by a live process,
+  // and its deferred work would never be adopted.
   Membership membership = MembershipOfThree("a");
   Digest former = DigestOf("b");
   former.journals = {JournalId("b.1")};
@@ -77,25 +78,25 @@
 }
 
 BOOST_AUTO_TEST_CASE(one_member_watches_and_another_takes_over) {
-  // Story: the member that watches the configuration loses its way to the
-  // platform, and only it. An operator's change would not reach this data
-  // centre although two members could read it.
+  // Failure: only the member that watches the configuration loses its
+  // connection to the platform. Configuration changes would not reach this data
+  // centre although two other members could read them.
   const std::vector<Digest> healthy{DigestOf("a"), DigestOf("b"),
                                     DigestOf("c")};
   BOOST_TEST(ConfigurationWatchers(healthy) == "a");
   const std::vector<Digest> first_cut{DigestOf("a", false), DigestOf("b"),
                                       DigestOf("c")};
   BOOST_TEST(ConfigurationWatchers(first_cut) == "b");
-  // In an outage for all, one goes on trying and not all three.
+  // During an outage that affects all members, only one of them keeps trying.
   const std::vector<Digest> outage{DigestOf("a", false), DigestOf("b", false),
                                    DigestOf("c", false)};
   BOOST_TEST(ConfigurationWatchers(outage) == "a");
 }
 
 BOOST_AUTO_TEST_CASE(a_crashed_process_is_detected_by_refused_connections) {
-  // Story: an entry process crashes. Its host answers each heartbeat with a
-  // refused connection, at once. The workers it owned are idle until its peers
-  // have noticed.
+  // An entry process crashes, and its host refuses each heartbeat connection
+  // immediately. The workers that it owned stay idle until its peers have
+  // detected the crash.
   Membership membership = MembershipOfThree("a");
   (void)membership.OnDigest(Instant(1s), DigestOf("b"));
   (void)membership.OnDigest(Instant(1s), DigestOf("c"));
@@ -117,8 +118,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(one_lost_heartbeat_has_no_effect) {
-  // Story: a single heartbeat is dropped by the network. A member taken for
-  // dead over it would have its workers attached by others.
+  // Failure: a single heartbeat is lost in the network, its receiver is
+  // considered failed, and other members attach to its workers.
   Membership membership = MembershipOfThree("a");
   (void)membership.OnDigest(Instant(1s), DigestOf("b"));
   (void)membership.OnDigest(Instant(1s), DigestOf("c"));
@@ -140,9 +141,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(urgent_changes_do_not_wait_for_the_heartbeat) {
-  // Story: an operator's change reaches one member of eight through its watch.
-  // The others must have it within seconds, and quiet heartbeats are seconds
-  // apart.
+  // A configuration change reaches one of eight members through its watch. The
+  // others must receive it within seconds, although heartbeats of an idle cell
+  // are seconds apart.
   OwnershipCell cell({"a", "b", "c", "d", "e", "f", "g", "h"}, 1);
   cell.StartAll();
   cell.Run(20s);
@@ -165,8 +166,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(idle_heartbeats_of_eight_members_stay_in_their_budget) {
-  // Story: heartbeats each 500 ms between 8 members take 4.5 KB a second of
-  // each, more than all control messages together may.
+  // Failure: heartbeats every 500 ms between 8 members use 4.5 KB per second
+  // for each of them, more than the limit for all control messages together.
   const std::vector<std::string> names{"a", "b", "c", "d", "e", "f", "g", "h"};
   OwnershipCell cell(names, 1);
   cell.StartAll();
@@ -176,7 +177,8 @@
   cell.Run(60s);
   std::int32_t sent = -before;
   for (const std::string& name : names) sent += cell.At(name).heartbeats;
-  // Each exchange is sent by one and answered by another, 320 bytes with both.
+  // Each exchange is sent by one member and answered by another; both messages
+  // together have 320 bytes.
   const std::int32_t bytes_per_member = sent * 2 * 320 / 60 / 8;
   BOOST_TEST_MESSAGE("bytes a second of each: " << bytes_per_member);
   BOOST_TEST(bytes_per_member <= 1000);
--- a/packages/core/tests/membership_forward_test.cc
+++ b/packages/core/tests/membership_forward_test.cc
@@ -49,7 +49,7 @@
   return digest;
 }
 
-/// Forwards until nobody has room for more.
+/// Forwards requests until no peer has free resources left.
 std::int32_t ForwardAll(Membership* membership, Instant now,
                         std::mt19937_64* random) {
   std::int32_t forwarded = 0;
@@ -106,15 +106,16 @@
     ++chosen[peer->Text()];
   }
   BOOST_TEST(chosen["b"] == 0);
-  // Nor does all of it go to the best one.
+  // The best peer does not get all requests either.
   BOOST_TEST(chosen["f"] < 300);
   BOOST_TEST(chosen["c"] > 0);
 }
 
 BOOST_AUTO_TEST_CASE(reservations_count_until_a_digest_can_show_them) {
-  // Story: a peer reports 4 free slots and gets 4 requests. Its next digest was
-  // made just before they arrived and shows 4 free slots again. Believed, it
-  // would draw 4 more, and these would wait there although others have room.
+  // Failure: a peer reports 4 free slots and gets 4 requests. Its next digest
+  // was created just before they arrived and shows 4 free slots again. If that
+  // digest were used unchanged, 4 more requests would be forwarded and would
+  // wait there although other peers have free slots.
   Membership membership = MembershipOfEight("a");
   std::mt19937_64 random(3);
   (void)membership.OnDigest(Instant(1s), DigestWithFreeSlots("b", 4));
@@ -126,10 +127,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(seven_full_members_do_not_overload_the_idle_one) {
-  // Story: after a hand-over one member of eight is idle and the others have
-  // queues. All seven see its 24 free slots in the same digest. Each sending 24
-  // requests would bury it under 168, and their callers would wait behind each
-  // other.
+  // Failure: one of eight members is idle and the others have queues. All seven
+  // see its 24 free slots in the same digest. If each of them forwarded 24
+  // requests, it would get 168, and most of them would have to wait.
   for (const std::int64_t slots : {24, 8, 3}) {
     std::int32_t sent = 0;
     std::mt19937_64 random(4);
@@ -162,9 +162,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_is_not_forwarded_back_and_forth) {
-  // Story: two members fill up at the same moment, each still holding an old
-  // digest that shows room at the other. A request sent from a to b would be
-  // sent back to a, and so on until its caller gives up.
+  // Failure: two members become full at the same time, and each still has an
+  // old digest that shows free slots on the other. A request would be forwarded
+  // back and forth until its caller times out.
   Membership a = MembershipOfEight("a");
   Membership b = MembershipOfEight("b");
   (void)a.OnDigest(Instant(1s), DigestWithFreeSlots("b", 1));
@@ -175,7 +175,7 @@
   const std::array origin{ProcessId("a")};
   BOOST_TEST(
       !b.ChooseForwardTarget(Instant(1s), kTask, origin, 12).has_value());
-  // A second request finds the promised room used up.
+  // A second request finds that the reservation uses up the free slot.
   BOOST_TEST(!a.ChooseForwardTarget(Instant(1s), kTask, {}, 13).has_value());
 }
 
--- a/packages/core/tests/ownership_basic_test.cc
+++ b/packages/core/tests/ownership_basic_test.cc
@@ -25,7 +25,7 @@
 const DataCenterId kHome("addis-1");
 const WorkerId kWorker("w1");
 
-/// One process alone in its data centre with one worker.
+/// A single process in its data centre with one worker.
 struct SingleProcessCell {
   Membership membership{{ProcessId("a"), kHome}, {}, {}};
   Ownership ownership{OwnershipOptions(), 1};
@@ -93,10 +93,11 @@
   BOOST_TEST(cell.Tick(Instant(4s)).empty());
 }
 
-// A worker is busy with short requests whose answers come with their starts, so
-// its reports name something that runs and nothing that ended. A short deferred
-// task starts among them; its end comes only with a renewal, and with renewals
-// stretched as for long runs its slot stays taken for seconds after it.
+// Failure: a worker is busy with short requests whose answers arrive with their
+// starts, so its reports list running tasks but no ended ones. The end of a
+// short deferred task arrives only with a renewal; if the interval of renewals
+// grew as for long tasks, the slot of that task would stay occupied for seconds
+// after its end.
 BOOST_AUTO_TEST_CASE(renewals_stay_frequent_while_starts_are_sent) {
   SingleProcessCell cell;
   BOOST_TEST(cell.Attach(Instant(1s)));
--- a/packages/core/tests/ownership_cell.h
+++ b/packages/core/tests/ownership_cell.h
@@ -22,12 +22,12 @@
 inline constexpr std::size_t kSlots = 8;
 inline constexpr Duration kRunTime = 400ms;
 inline constexpr Duration kStep = 10ms;
-/// One way, between any two.
+/// One-way latency between any two participants.
 inline constexpr Duration kLatency = 2ms;
-/// Time after which an unanswered call is reported unreachable.
+/// Time after which an unanswered call is reported as unreachable.
 inline constexpr Duration kCallTimeout = 800ms;
 
-/// Who an attach or start comes from.
+/// Sender of an attach or a start.
 struct Sender {
   ProcessId process;
   Incarnation incarnation = 0;
@@ -35,9 +35,9 @@
   friend bool operator==(const Sender&, const Sender&) = default;
 };
 
-/// A worker's rules for its lease, as docs/PROTOCOLS.md states them. It counts
-/// what runs but refuses nothing for lack of room, so that overcommitting it
-/// shows.
+/// Model of a worker that follows the lease rules in docs/PROTOCOLS.md. It
+/// counts running tasks but refuses none for lack of resources, so that
+/// overcommitment becomes visible.
 class ModelWorker {
  public:
   explicit ModelWorker(WorkerDescription description)
@@ -74,7 +74,7 @@
     this->peak = std::max(this->peak, this->Running(now).size());
     return true;
   }
-  /// The host starts anew: everything that ran or was known is gone.
+  /// Simulates a restart of the host: all tasks and all state are lost.
   void Restart() {
     *this = ModelWorker(this->description);
     ++this->incarnation;
@@ -124,8 +124,8 @@
   std::map<std::uint64_t, Instant> tasks;
 };
 
-/// One entry process as far as membership and ownership go. It starts as many
-/// tasks as it believes to fit when `places` is set.
+/// Model of an entry process that is limited to membership and ownership. It
+/// starts as many tasks as it believes to fit when `places_tasks` is set.
 struct ModelProcess {
   ModelProcess(const PeerDescription& self,
                const std::vector<PeerDescription>& peers,
@@ -153,9 +153,9 @@
   std::int32_t started = 0;
   std::int32_t calls = 0;
   std::int32_t heartbeats = 0;
-  /// Tasks that it counts on each worker it owns.
+  /// Tasks that the process counts on each worker that it owns.
   std::map<WorkerId, std::set<std::uint64_t>> ledger;
-  /// Events that wait for it while it is paused.
+  /// Events that are queued while the process is paused.
   std::vector<std::function<void()>> inbox;
 };
 
@@ -199,7 +199,7 @@
   ModelProcess& At(const std::string& name) { return *this->processes[name]; }
   ModelWorker& Worker(std::size_t i) { return *this->workers[i]; }
 
-  /// Nothing passes between the two any more, until `Heal`.
+  /// Blocks all messages between the two until `Heal` is called.
   void Cut(const std::string& a, const std::string& b) {
     this->cuts.insert(a + b);
     this->cuts.insert(b + a);
@@ -258,7 +258,8 @@
     return attaches;
   }
   [[nodiscard]] std::int32_t Refusals() const { return this->refusals; }
-  /// Sends a start as an old message may arrive: whatever happened since.
+  /// Sends a start directly to the worker, like a delayed message that arrives
+  /// regardless of what has happened since.
   bool StartAt(std::size_t worker, Epoch epoch) {
     return this->workers[worker]->Start(this->now, epoch, ++this->last_task,
                                         this->options.lease);
--- a/packages/core/tests/ownership_change_test.cc
+++ b/packages/core/tests/ownership_change_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The way an application behaves that tells of its starts.
+/// Simulates an application that reports its starts.
 void ReportStarts(OwnershipCell* cell, const std::vector<std::string>& names) {
   for (const std::string& name : names) {
     cell->At(name).ownership.OnStartSent(cell->now, WorkerId("none"));
@@ -25,8 +25,9 @@
 
 BOOST_AUTO_TEST_CASE(
     a_cold_start_of_all_processes_ends_with_the_preferred_owners) {
-  // Story: the whole cell is started at once. Each process at first knows only
-  // itself and would take every worker, to hand most of them over later.
+  // Failure: all processes of a cell start at the same time. Each one initially
+  // knows only itself and would attach to every worker, only to hand most of
+  // them over later.
   OwnershipCell cell({"a", "b", "c", "d"}, 24);
   cell.StartAll();
   cell.Run(3s);
@@ -36,8 +37,8 @@
 
 BOOST_AUTO_TEST_CASE(
     workers_of_a_failed_process_are_taken_over_within_five_seconds) {
-  // Story: an entry host loses power. Urgent callers whose work fits only its
-  // workers wait until others own them.
+  // An entry host loses power. Urgent requests that fit only on its workers
+  // wait until other processes own these workers.
   OwnershipCell cell({"a", "b", "c", "d"}, 24);
   cell.StartAll();
   ReportStarts(&cell, {"a", "b", "c", "d"});
@@ -61,10 +62,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_restarted_process_gets_its_workers_back) {
-  // Story: an entry process crashes and is started again at once, with the same
-  // name. The workers still hold leases of its former run and must take the new
-  // one for another holder, since the old one's messages may still be on their
-  // way.
+  // An entry process crashes and is restarted immediately under the same name.
+  // The workers still hold leases of its former run and must treat the new run
+  // as a different holder, because messages of the former run may still be in
+  // transit.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
   cell.At("a").places_tasks = true;
@@ -79,9 +80,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_restarted_worker_is_attached_again) {
-  // Story: a worker host reboots in between two renewals. Everything that ran
-  // there is gone; its owner must hear so by a fresh attach, and never send
-  // with an epoch that the worker of before the reboot has seen.
+  // A worker host reboots between two renewals, and all tasks on it are lost.
+  // Its owner must learn this from a new attach, and it must never use an epoch
+  // that the worker has seen before the reboot.
   OwnershipCell cell({"a"}, 1);
   ModelProcess& a = cell.Start("a");
   cell.Run(5s);
@@ -96,9 +97,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(membership_churn_ends_with_the_preferred_owners) {
-  // Story: the entry hosts are replaced one by one while the cell is busy, one
-  // of them twice in a row. Workers move each time; none may be overcommitted
-  // or stay without an owner.
+  // The entry hosts are replaced one by one while the cell is busy, one of them
+  // twice in a row. Workers change owners each time; none may be overcommitted
+  // or remain without an owner.
   OwnershipCell cell({"a", "b", "c", "d"}, 24);
   cell.StartAll();
   for (const char* name : {"a", "b", "c", "d", "b"}) {
@@ -116,10 +117,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_flapping_member_does_not_move_workers) {
-  // Story: one entry host is heard for half a second in every three, as with a
-  // failing network card. Each time it appears it is preferred for its racks.
-  // It can't reach the workers either, so releasing to it would leave them
-  // without an owner.
+  // Failure: an entry host can be reached for only half a second in every
+  // three, as with a failing network card. Each time it appears, it is
+  // preferred for its racks. It cannot reach the workers either, so releasing
+  // them to it would leave them without an owner.
   OwnershipCell cell({"a", "b"}, 8);
   cell.Start("a");
   cell.Run(5s);
@@ -138,9 +139,10 @@
 
 BOOST_AUTO_TEST_CASE(
     another_member_takes_a_worker_that_the_preferred_owner_cannot_reach) {
-  // Story: one entry host is alive and heard by its peers but has lost its way
-  // to one worker. As the preferred owner it keeps the others off, and the
-  // worker would stand idle for good while callers wait.
+  // Failure: an entry host is alive and reachable for its peers but has lost
+  // its connection to one worker. As the preferred owner it keeps the others
+  // from attaching, so the worker would stay idle permanently while requests
+  // wait.
   OwnershipCell cell({"a", "b", "c"}, 24);
   cell.StartAll();
   ReportStarts(&cell, {"a", "b", "c"});
@@ -161,16 +163,17 @@
   BOOST_TEST(cell.OwnedBy("a") == others);
   BOOST_TEST(cell.Attaches() == before + 1);
 
-  // Once the way is back, the preferred owner gets it with the next offer.
+  // Once the connection is restored, the preferred owner gets the worker with
+  // the next hand-back.
   cell.Heal();
   cell.Run(3min);
   BOOST_TEST(cell.At("a").ownership.OwnedForStart(cell.now, lost).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_failed_worker_causes_few_messages) {
-  // Story: a worker host is gone for good, but the lagging host list names it
-  // for hours. Every process would knock on it, and on its neighbours to find
-  // out which one has no owner, without end.
+  // Failure: a worker host is permanently gone, but the host list still
+  // contains it for hours. All processes would call it, and its neighbours to
+  // find a worker without an owner, without end.
   const std::vector<std::string> names{"a", "b", "c"};
   OwnershipCell cell(names, 24);
   cell.StartAll();
@@ -184,22 +187,22 @@
   };
   const std::int32_t refused_before = cell.Refusals();
   cell.Run(2min);
-  // The two others ask each worker of its owner about once.
+  // Each of the two other processes asks each worker of the owner about once.
   BOOST_TEST_MESSAGE("refused: " << cell.Refusals() - refused_before);
   BOOST_TEST(cell.Refusals() - refused_before <= 2 * 2 * 12);
   cell.Run(2min);
   const std::int32_t before = calls();
   cell.Run(2min);
-  // A try each 5 to 11 s for the dead one, and the renewals of the idle ones
-  // each 10 to 13 s.
+  // One call every 5 to 11 s to the failed worker, and one renewal every 10 to
+  // 13 s for each idle worker.
   BOOST_TEST_MESSAGE("calls in two minutes: " << calls() - before);
   BOOST_TEST(calls() - before <= 24 + 23 * 13);
 }
 
 BOOST_AUTO_TEST_CASE(one_lost_renewal_does_not_lose_a_worker) {
-  // Story: a single renewal to a busy worker gets no answer. If its owner took
-  // the worker for lost, the tasks that run there would be given up, and
-  // callers of non-idempotent ones would hear "unknown".
+  // Failure: a single renewal to a busy worker gets no answer. If its owner
+  // considered the worker lost, it would abandon the tasks that run there, and
+  // callers of non-idempotent requests would get the outcome "unknown".
   OwnershipCell cell({"a"}, 1);
   ModelProcess& a = cell.Start("a");
   const WorkerId worker("w00");
@@ -215,8 +218,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_worker_that_does_not_answer_gets_no_starts) {
-  // Story: a worker freezes. Each start sent to it ends as unknown after a long
-  // wait, so starts must stop long before its lease has lapsed.
+  // Failure: a worker stops responding. Each start sent to it ends with an
+  // unknown outcome after a long wait, so starts must stop long before its
+  // lease has expired.
   OwnershipCell cell({"a"}, 1);
   ModelProcess& a = cell.Start("a");
   const WorkerId worker("w00");
@@ -233,15 +237,15 @@
   });
   BOOST_TEST((suspended > Duration(0)));
   BOOST_TEST((lost >= suspended + 500ms));
-  // An interval of renewals, two calls without an answer and a pause.
+  // One renewal interval, two calls without an answer and one delay.
   BOOST_TEST((suspended <= 3400ms + 2 * 800ms + 200ms));
   BOOST_TEST((lost <= 3400ms + 3s + 2 * 800ms));
 }
 
 BOOST_AUTO_TEST_CASE(reports_are_requested_while_starts_renew_the_lease) {
-  // Story: a worker is busy with short requests, whose starts renew its lease
-  // all the time, and runs one long detached task beside them. Without reports
-  // the long task's own lease lapses, and the worker stops it.
+  // Failure: a worker is busy with short requests, whose starts renew its lease
+  // continuously, and also runs one long detached task. Without reports, the
+  // lease of the long task expires, and the worker stops it.
   OwnershipCell cell({"a"}, 1);
   cell.Start("a").places_tasks = true;
   cell.Run(5s);
@@ -251,8 +255,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_call_without_any_result_does_not_block_a_worker) {
-  // Story: the thread that carried an attach died with it, so neither an answer
-  // nor a failure is ever reported. The worker would stay unowned for good.
+  // Failure: the thread that performed an attach has died, so neither an answer
+  // nor a failure is ever reported. The worker would stay without an owner
+  // permanently.
   OwnershipCell cell({"a"}, 1);
   ModelProcess& a = cell.Start("a");
   mustardproxy::Actions actions;
@@ -263,8 +268,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(idle_leases_may_expire_and_starts_still_succeed) {
-  // Story: at night nothing runs and renewals become rare, so the worker's
-  // lease lapses. In the morning the first caller must be served at once.
+  // In an idle cell renewals become rare, so the leases of the workers expire.
+  // The first request after that must still be started immediately.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
   ReportStarts(&cell, {"a", "b"});
--- a/packages/core/tests/ownership_split_test.cc
+++ b/packages/core/tests/ownership_split_test.cc
@@ -28,10 +28,10 @@
 BOOST_AUTO_TEST_SUITE(ownership_split)
 
 BOOST_AUTO_TEST_CASE(a_partition_between_two_processes_never_overcommits) {
-  // Story: the link between two entry hosts breaks while both reach all
-  // workers. Each takes the other for dead and itself for the owner of all.
-  // Were both to place, a worker of 8 slots would run 16 tasks. Both are under
-  // full load the whole time.
+  // Failure: the link between two entry hosts breaks while both can reach all
+  // workers. Each considers the other failed and itself the owner of all
+  // workers. If both placed tasks, a worker with 8 slots would run 16 tasks.
+  // Both are under full load the whole time.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
   PlaceTasksAtBoth(&cell);
@@ -47,9 +47,9 @@
 
 BOOST_AUTO_TEST_CASE(
     idle_workers_do_not_change_owners_endlessly_in_a_partition) {
-  // Story: as above, but the cell is idle, so the leases of idle workers lapse
-  // and each side can attach whenever it likes. Without more, a worker would
-  // change owners every few seconds, and each change costs a refused start.
+  // Failure: as above, but the cell is idle, so the leases of idle workers
+  // expire and each side can attach at any time. A worker would change owners
+  // every few seconds, and each change causes a refused start.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
   cell.At("a").ownership.OnStartSent(cell.now, WorkerId("none"));
@@ -63,10 +63,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_paused_holder_cannot_start_tasks_with_its_old_epoch) {
-  // Story: an entry host stops for 20 s between the check of its lease and the
-  // send (SIGSTOP, or a stalled hypervisor). Meanwhile its workers pass to the
-  // other one, which fills them. Then the first one wakes up and its start
-  // leaves for the worker. The caller must not get a ninth task run there.
+  // Failure: an entry host is suspended for 20 s between the check of its lease
+  // and the send (SIGSTOP, or a stalled hypervisor). Meanwhile the other
+  // process takes over its workers and fills them. When the first one resumes,
+  // its start is sent to the worker, which must not run a ninth task.
   OwnershipCell cell({"a", "b"}, 8);
   cell.StartAll();
   cell.Run(5s);
@@ -91,9 +91,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_pause_alone_does_not_cause_takeovers) {
-  // Story: a data centre's hypervisor stalls for 20 s, and its entry hosts with
-  // it. When they wake up, each finds the others silent for 20 s and would take
-  // all workers, and they would fight over them although nobody had died.
+  // Failure: the hypervisor of a data centre stalls for 20 s together with all
+  // entry hosts. When they resume, each finds the others silent for 20 s and
+  // would attach to all workers, and they would compete for the workers
+  // although no process has failed.
   OwnershipCell cell({"a", "b", "c"}, 12);
   cell.StartAll();
   cell.Run(20s);
@@ -115,9 +116,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(without_epoch_checks_a_partition_does_not_overcommit) {
-  // Story: these workers grant leases but do not compare the epoch of a start.
-  // Then a holder may send nothing once its lease could have lapsed, or two
-  // owners would fill the same slots while they can't hear each other.
+  // Failure: these workers grant leases but do not compare the epoch of a
+  // start. A holder must not send starts once its lease could have expired;
+  // otherwise two owners would fill the same slots while they cannot reach each
+  // other.
   OwnershipOptions options;
   options.worker_checks_epoch = false;
   OwnershipCell cell({"a", "b"}, 8, options);
@@ -138,9 +140,9 @@
 
 BOOST_AUTO_TEST_CASE(
     without_epoch_checks_a_lease_counts_from_the_sent_request) {
-  // Story: a renewal takes 700 ms to be answered. Counted from the answer, the
-  // lease would seem to last 700 ms longer than the worker grants it, and in
-  // that time a new owner and this one would both place.
+  // Failure: a renewal takes 700 ms to be answered. Counted from the answer,
+  // the lease would appear 700 ms longer than the worker grants it, and during
+  // that time a new owner and this one would both place tasks.
   OwnershipOptions options;
   options.worker_checks_epoch = false;
   OwnershipCell cell({"a"}, 1, options);
@@ -159,9 +161,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_does_not_extend_the_lease_of_a_later_call) {
-  // Story: a renewal is reported lost, the next one is sent, and then the first
-  // one's answer arrives. Taken for the second one's, it would count the lease
-  // from the wrong send, and this holder would place after the lapse.
+  // Failure: a renewal is reported as lost, the next one is sent, and then the
+  // answer to the first one arrives. If it were matched to the second one, the
+  // lease would be counted from the wrong send, and this holder would place
+  // tasks after the lease has expired.
   OwnershipOptions options;
   options.worker_checks_epoch = false;
   OwnershipCell cell({"a"}, 1, options);
--- a/packages/core/tests/retry_budget_test.cc
+++ b/packages/core/tests/retry_budget_test.cc
@@ -9,9 +9,9 @@
 BOOST_AUTO_TEST_SUITE(retry_budget)
 
 BOOST_AUTO_TEST_CASE(retries_are_limited_to_a_tenth_of_the_traffic) {
-  // Story: every worker of the cell fails every request. Each failure asks for
-  // a retry, so without a limit the cell would get a multiple of its load just
-  // when it is sick. 1,000 requests a second arrive for 10 s.
+  // Failure: every worker of the cell fails every request. Each failure asks
+  // for a retry, so without a limit the retries would multiply the load of the
+  // failing cell. 1,000 requests per second arrive for 10 s.
   RetryBudget budget(0.1, 1);
   std::int32_t retries = 0;
   for (std::int32_t i = 0; i < 10'000; ++i) {
@@ -20,7 +20,7 @@
     while (budget.TryRetry(now)) ++retries;
   }
   BOOST_TEST(retries >= 1000);
-  // The minimum of one a second and the first second's come on top.
+  // The minimum of one per second and the initial token are added.
   BOOST_TEST(retries <= 1012);
 }
 
@@ -44,8 +44,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(idle_time_accumulates_a_bounded_number_of_retries) {
-  // Story: after a calm night the first fault of the morning fails hundreds of
-  // requests at once. Saved-up tokens of the night must not all be spent then.
+  // Failure: after hours without traffic, the first fault fails hundreds of
+  // requests at once. The retries must not all be paid from tokens that
+  // accumulated during the idle time.
   RetryBudget budget(0.1, 1);
   std::int32_t retries = 0;
   while (budget.TryRetry(Instant(8h))) ++retries;
--- a/packages/core/tests/worker_health_failure_test.cc
+++ b/packages/core/tests/worker_health_failure_test.cc
@@ -17,7 +17,7 @@
 const ServiceId kScreen("screen");
 const ServiceId kReview("review");
 
-/// Ten workers and their health.
+/// Health records of ten workers.
 struct TenWorkers {
   WorkerHealth health{WorkerHealthOptions()};
   std::vector<WorkerId> workers;
@@ -51,13 +51,13 @@
 BOOST_AUTO_TEST_SUITE(worker_health_failure)
 
 BOOST_AUTO_TEST_CASE(workers_that_fail_every_task_are_ejected) {
-  // Story: two workers of ten fail each task within a millisecond. They look
-  // idle all the time, so most requests would go to them and fail.
+  // Failure: two of ten workers fail each task within a millisecond. They
+  // always look idle, so most requests would go to them and fail.
   TenWorkers cell;
   std::int32_t bad = 0;
   for (std::int32_t i = 0; i < 1000; ++i) {
     const Instant now(1s + i * 1ms);
-    // A request goes to a free worker; the bad ones are always free.
+    // A request goes to a free worker; the failing ones are always free.
     const std::size_t worker = cell.Share(now, 0) > 0   ? 0
                                : cell.Share(now, 1) > 0 ? 1
                                                         : 2;
@@ -73,9 +73,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(ejections_stay_within_the_limit_when_all_workers_fail) {
-  // Story: a store that all services need is down, so every task on every
-  // worker fails. Ejecting them all would leave nobody to place on when the
-  // store is back.
+  // Failure: a store that all services need is down, so every task fails on
+  // every worker. If all workers were ejected, none would be left to place
+  // tasks on when the store recovers.
   TenWorkers cell;
   for (std::int32_t round = 0; round < 100; ++round) {
     const Instant now(1s + round * 100ms);
@@ -87,8 +87,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_failing_worker_kept_by_the_limit_gets_little_work) {
-  // Story: four workers of ten fail everything, and three are ejected. The
-  // fourth one stays in and is always free, so it would draw each request.
+  // Failure: four of ten workers fail every task, and three of them are
+  // ejected. The fourth one stays in service and is always free, so it would
+  // attract every request.
   TenWorkers cell;
   const Instant now(1s);
   for (std::int32_t round = 0; round < 5; ++round) {
@@ -105,9 +106,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_fails_on_all_workers_is_at_fault) {
-  // Story: one review crashes whatever runs it. It is retried on worker after
-  // worker. It must end as failed after three, and the good workers it met must
-  // stay in use.
+  // A request crashes every task that runs it and is retried on one worker
+  // after another. It must end as failed after three workers, and the healthy
+  // workers among them must stay in use.
   TenWorkers cell;
   const RequestId poison("poison");
   for (std::size_t worker = 0; worker < 3; ++worker) {
@@ -121,9 +122,9 @@
 
 BOOST_AUTO_TEST_CASE(
     failures_of_a_faulty_request_do_not_eject_healthy_workers) {
-  // Story: a caller sends bad reviews all day, each of which fails on three
-  // workers. Between them the workers happen to get nothing else. After enough
-  // of them every worker would have five failures in a row.
+  // Failure: a caller keeps sending faulty requests, each of which fails on
+  // three workers that get no other tasks in between. Eventually every worker
+  // would have five consecutive failures.
   TenWorkers cell;
   for (std::int32_t i = 0; i < 100; ++i) {
     const RequestId poison(std::to_string(1000 + i));
@@ -137,9 +138,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_ejection_caused_by_a_faulty_request_is_lifted) {
-  // Story: a good worker had four failures of its own bad luck when a bad
-  // request came by as the fifth and got it ejected. Once that request has
-  // failed on three healthy workers, the ejection has no ground left.
+  // Failure: a healthy worker has four unrelated failures, and a faulty request
+  // causes the fifth one and thereby its ejection. Once that request has failed
+  // on three healthy workers, the reason for the ejection no longer exists.
   TenWorkers cell;
   const Instant now(1s);
   for (std::int32_t i = 0; i < 4; ++i) cell.Fail(now, 0, kScreen);
@@ -154,9 +155,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(three_failing_workers_do_not_mark_a_request_as_faulty) {
-  // Story: a rack with three broken workers fails whatever it gets. A request
-  // that happened to be tried on all three is a good one; ended as failed, a
-  // detainee's review would be lost.
+  // Failure: a rack has three broken workers that fail every task. A valid
+  // request that was tried on all three would be ended as failed, and its
+  // result would be lost.
   TenWorkers cell;
   const Instant now(1s);
   for (std::int32_t i = 0; i < 3; ++i) {
@@ -172,8 +173,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_broken_service_does_not_eject_workers) {
-  // Story: a broken release of one service fails on every worker. Were three
-  // workers ejected for it, the other services would lose their room.
+  // Failure: a broken release of one service fails on every worker. If three
+  // workers were ejected for it, the other services would lose capacity.
   TenWorkers cell;
   for (std::int32_t round = 0; round < 20; ++round) {
     for (std::size_t worker = 0; worker < 10; ++worker) {
@@ -187,9 +188,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_service_that_works_on_other_workers_is_not_at_fault) {
-  // Story: six workers of ten are broken, and the one service of this cell
-  // fails on most workers. It still works on the other four, so the six are to
-  // blame and must not draw the work.
+  // Failure: six of ten workers are broken, and the only service of this cell
+  // fails on most workers. It still succeeds on the other four, so the six
+  // workers are at fault and must not attract requests.
   TenWorkers cell;
   const Instant now(1s);
   for (std::int32_t round = 0; round < 10; ++round) {
@@ -208,9 +209,9 @@
 
 BOOST_AUTO_TEST_CASE(
     answers_of_tasks_started_before_the_ejection_do_not_end_it) {
-  // Story: a worker's disk breaks while long tasks still run from memory. It is
-  // ejected, and then some of those succeed. Brought back on them, it would
-  // fail the next five requests.
+  // Failure: the disk of a worker breaks while long tasks still run from
+  // memory. The worker is ejected, and then some of these tasks succeed. If
+  // that returned it to service, it would fail the next five requests.
   TenWorkers cell;
   for (std::int32_t i = 0; i < 5; ++i) cell.Fail(Instant(1s), 0, kScreen);
   for (std::int32_t i = 0; i < 5; ++i) {
@@ -221,8 +222,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_worker_that_keeps_failing_is_probed_less_often) {
-  // Story: a worker stays broken for an hour. Each probe costs a caller a
-  // retry, so probes must become rare.
+  // A worker stays broken for an hour. Each probe costs a caller a retry, so
+  // probes must become rare.
   TenWorkers cell;
   std::int32_t failures = 0;
   for (std::int32_t i = 0; i < 36'000; ++i) {
@@ -236,9 +237,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(changes_are_reported_at_the_announced_wakeups) {
-  // Story: the ledger learns of a returning worker only through `TakeChanged`,
-  // and the core sleeps until `NextWakeup`. Without a wake-up at each step, a
-  // worker would stay out of use in a quiet cell.
+  // Failure: the ledger learns of a returning worker only through
+  // `TakeChanged`, and the core sleeps until `NextWakeup`. Without a wake-up
+  // for each step, a worker would stay unused in an idle cell.
   TenWorkers cell;
   for (std::int32_t i = 0; i < 5; ++i) cell.Fail(Instant(1s), 0, kScreen);
   Instant now(1s);
