--- a/packages/core/src/error.cc
+++ b/packages/core/src/error.cc
@@ -28,7 +28,7 @@
     case Error::kUnknownRequest:
       return "no such request is known";
     case Error::kNeverFits:
-      return "no worker could ever hold this task";
+      return "the task is too large for every worker";
     case Error::kKeyReused:
       return "the idempotency key was used with another body";
     case Error::kKeyInProgress:
@@ -38,7 +38,7 @@
     case Error::kUnknownJob:
       return "the job is not known";
     case Error::kJobInvalid:
-      return "the job can not be understood or breaks a bound";
+      return "the job is malformed or exceeds a limit";
     case Error::kWaitTooLong:
       return "the predicted wait is longer than allowed";
     case Error::kQueueFull:
@@ -48,27 +48,27 @@
     case Error::kShuttingDown:
       return "this process is shutting down";
     case Error::kJournalUnavailable:
-      return "the journal can not be written at present";
+      return "the journal cannot be written at present";
     case Error::kNoWorker:
-      return "no worker takes work at present";
+      return "no worker accepts work at present";
     case Error::kTooManyConnections:
       return "too many requests are in progress here";
     case Error::kStarting:
       return "this process has no configuration yet";
     case Error::kGangImpossible:
-      return "the tasks can never all run at once";
+      return "the tasks can never all run at the same time";
     case Error::kStoreUnavailable:
-      return "the platform's store does not take the job";
+      return "the platform's store does not accept the job";
     case Error::kOverloaded:
-      return "the work ahead would take too long";
+      return "the queued work would take too long";
     case Error::kDeadlineExceeded:
       return "the request took longer than its timeout";
     case Error::kWorkerLost:
-      return "the worker went away while it ran the task";
+      return "the worker was lost while it ran the task";
     case Error::kAnswerIncomplete:
-      return "the worker's answer was cut short";
+      return "the worker's answer is incomplete";
     case Error::kPeerLost:
-      return "the entry process that ran the request went away";
+      return "the entry process that ran the request was lost";
     case Error::kCancelled:
       return "the request was cancelled";
     case Error::kTaskFailed:
@@ -78,19 +78,20 @@
     case Error::kPlatformUnavailable:
       return "the platform's key-value service does not answer";
     case Error::kConflict:
-      return "somebody else changed it first";
+      return "another process changed it first";
     case Error::kFenced:
-      return "another process has taken the journal over";
+      return "another process has taken over the journal";
     case Error::kStaleEpoch:
       return "the worker has a newer owner";
     case Error::kLeaseHeld:
       return "the worker's lease is held by another process";
     case Error::kPeerMismatch:
-      return "the peer serves another customer or speaks another version";
+      return "the peer serves another customer or uses another protocol "
+             "version";
     case Error::kMalformedReply:
       return "the reply can not be understood";
     case Error::kHistoryLost:
-      return "the store has forgotten the changes asked for";
+      return "the store no longer holds the requested changes";
     case Error::kNotOwner:
       return "the process does not own the placement group";
     case Error::kFileMissing:
