--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -18,8 +18,8 @@
 /// A drop is not confirmed, and the claim that it follows may not have been
 /// written yet, so it is sent this many times.
 constexpr std::int32_t kDropRepeats = 4;
-/// Bounds the memory during a long outage. Claims beyond it are not dropped;
-/// repeats of their requests are answered that the key is in use.
+/// Bounds the memory during a long outage. Claims beyond this number are not
+/// dropped; repeats of their requests are answered that the key is in use.
 constexpr std::size_t kMaxAbandoned = 4096;
 constexpr Duration kDropInterval = std::chrono::seconds(5);
 constexpr Duration kSweepInterval = std::chrono::minutes(10);
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Maximum number of attempts and forwards that did not run before the request
-/// is refused.
+/// Maximum number of attempts and forwards of one request; after that it is not
+/// retried.
 constexpr std::int32_t kMaxStarts = 10;
 
 }  // namespace
