--- a/packages/core/src/forwarding.cc
+++ b/packages/core/src/forwarding.cc
@@ -30,19 +30,19 @@
 
 namespace {
 
-void AddReservation(Instant now, const Resources& room,
+void AddReservation(Instant now, const Resources& resources,
                     std::vector<ForwardReservation>* reservations) {
   if (!reservations->empty() &&
       now - reservations->back().made < kReservationMergeWindow) {
-    reservations->back().room += room;
+    reservations->back().resources += resources;
     return;
   }
-  reservations->push_back({now, room});
+  reservations->push_back({now, resources});
 }
 
-Resources DividedBy(const Resources& room, std::int64_t parts) {
-  return {room.cpu_milli / parts, room.memory_mb / parts,
-          room.accelerators / parts, room.slots / parts};
+Resources DividedBy(const Resources& resources, std::int64_t parts) {
+  return {resources.cpu_milli / parts, resources.memory_mb / parts,
+          resources.accelerators / parts, resources.slots / parts};
 }
 
 /// @return true if this process may send a single task although its share of
@@ -59,28 +59,31 @@
 }
 
 /// @return the free resources of a peer that this process may still use
-Resources RemainingRoom(const ProcessId& self, const Peer& peer,
-                        const Resources& needs, std::int64_t competitors) {
-  Resources room = DividedBy(peer.digest->free, competitors);
-  const bool too_small = !needs.FitsIn(room) && needs.FitsIn(peer.digest->free);
-  if (too_small && DrawsFractionalShare(self, peer, competitors)) room = needs;
+Resources RemainingResources(const ProcessId& self, const Peer& peer,
+                             const Resources& needs, std::int64_t competitors) {
+  Resources resources = DividedBy(peer.digest->free, competitors);
+  const bool too_small =
+      !needs.FitsIn(resources) && needs.FitsIn(peer.digest->free);
+  if (too_small && DrawsFractionalShare(self, peer, competitors))
+    resources = needs;
   for (const ForwardReservation& reservation : peer.reservations) {
-    room -= reservation.room;
+    resources -= reservation.resources;
   }
-  return room;
+  return resources;
 }
 
 struct Candidate {
   Peer* peer = nullptr;
-  Resources room;
+  Resources resources;
 };
 
 bool Better(const Candidate& a, const Candidate& b) {
   const Duration a_wait = a.peer->digest->predicted_wait;
   const Duration b_wait = b.peer->digest->predicted_wait;
   if (a_wait != b_wait) return a_wait < b_wait;
-  if (a.room.slots != b.room.slots) return a.room.slots > b.room.slots;
-  return a.room.cpu_milli > b.room.cpu_milli;
+  if (a.resources.slots != b.resources.slots)
+    return a.resources.slots > b.resources.slots;
+  return a.resources.cpu_milli > b.resources.cpu_milli;
 }
 
 /// @return the better of two distinct candidates drawn at random
@@ -109,10 +112,10 @@
     if (!peer.alive || peer.digest->stopping) continue;
     if (std::ranges::find(avoid, id) != avoid.end()) continue;
     if (!needs.FitsIn(peer.digest->largest_free)) continue;
-    const Resources room = detail::RemainingRoom(all.self.process, peer, needs,
-                                                 peer.local ? competitors : 1);
-    if (!needs.FitsIn(room)) continue;
-    (peer.local ? local : remote).push_back({&peer, room});
+    const Resources resources = detail::RemainingResources(
+        all.self.process, peer, needs, peer.local ? competitors : 1);
+    if (!needs.FitsIn(resources)) continue;
+    (peer.local ? local : remote).push_back({&peer, resources});
   }
   const std::vector<detail::Candidate>& near = local.empty() ? remote : local;
   if (near.empty()) return std::nullopt;
--- a/packages/core/src/membership_state.h
+++ b/packages/core/src/membership_state.h
@@ -14,7 +14,7 @@
 /// Resources of requests forwarded to a peer that its digest cannot show yet.
 struct ForwardReservation {
   Instant made;
-  Resources room;
+  Resources resources;
 };
 
 /// State that this process keeps about a peer.
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -45,18 +45,18 @@
   return found == this->index.end() ? nullptr : &this->leases[found->second];
 }
 
-Duration Ownership::State::Jitter(Duration most) {
+Duration Ownership::State::Jitter(Duration max_delay) {
   this->random += 0x9e3779b97f4a7c15ULL;
   const std::uint64_t drawn = detail::MixBits(this->random);
-  const auto range = static_cast<std::uint64_t>(most.count()) + 1;
+  const auto range = static_cast<std::uint64_t>(max_delay.count()) + 1;
   return Duration(static_cast<std::int64_t>(drawn % range));
 }
 
-Duration Ownership::State::RetryDelay(std::int32_t times, Duration most) {
+Duration Ownership::State::RetryDelay(std::int32_t times, Duration max_delay) {
   Duration pause = this->options.retry_interval;
   const std::int32_t doublings = std::clamp(times, 0, kMaxDoublings);
-  for (std::int32_t i = 0; i < doublings && pause < most; ++i) pause *= 2;
-  pause = std::min(pause, most);
+  for (std::int32_t i = 0; i < doublings && pause < max_delay; ++i) pause *= 2;
+  pause = std::min(pause, max_delay);
   return pause / 2 + this->Jitter(pause / 2);
 }
 
@@ -230,20 +230,21 @@
   Lease* lease = all.Find(refused.worker);
   if (lease == nullptr || refused.epoch != lease->epoch) return false;
   if (lease->phase == LeasePhase::kNone) return false;
-  const bool had = lease->phase != LeasePhase::kAttaching;
-  const bool ours =
+  const bool had_lease = lease->phase != LeasePhase::kAttaching;
+  const bool is_own_lease =
       refused.holder == all.self && refused.highest == lease->epoch;
   // A worker refuses to stop a task that is gone, although the lease is valid.
-  if (lease->phase == LeasePhase::kOwned && ours) return false;
+  if (lease->phase == LeasePhase::kOwned && is_own_lease) return false;
   lease->in_flight = false;
   lease->unreachable = 0;
   // A restarted worker has forgotten its epochs. The epochs of this process
   // keep growing; otherwise a start from before the restart could match the new
   // lease.
   lease->highest = std::max(lease->highest, refused.highest);
-  const bool taken = lease->phase == LeasePhase::kOwned &&
-                     all.Preferred(*lease) && refused.highest > lease->epoch;
-  lease->contested = lease->contested || taken;
+  const bool taken_by_other = lease->phase == LeasePhase::kOwned &&
+                              all.Preferred(*lease) &&
+                              refused.highest > lease->epoch;
+  lease->contested = lease->contested || taken_by_other;
   // The first refusal only reveals the epoch, so the next attach may follow
   // immediately; after that, two processes may be competing for the worker.
   const bool free = refused.lease_left <= Duration(0);
@@ -260,13 +261,13 @@
   if (!free && !all.Preferred(*lease)) {
     lease->call_not_before = now + OrphanDetector::kAttachWindow;
   }
-  if (had) {
+  if (had_lease) {
     all.MarkLost(now, lease);
   } else {
     all.SetPhase(lease, LeasePhase::kNone);
   }
   all.ScheduleNext(now, *lease);
-  return had;
+  return had_lease;
 }
 
 bool Ownership::OnUnreachable(Instant now, const WorkerId& worker) {
@@ -281,8 +282,8 @@
   }
   lease->in_flight = false;
   ++lease->unreachable;
-  const Duration most = all.options.max_unreachable_interval;
-  const Duration pause = all.RetryDelay(lease->unreachable - 1, most);
+  const Duration max_delay = all.options.max_unreachable_interval;
+  const Duration pause = all.RetryDelay(lease->unreachable - 1, max_delay);
   lease->call_not_before = std::max(lease->call_not_before, now + pause);
   // No call that reached the worker before it stopped answering can have
   // extended its lease beyond this time. A single lost call does not count as a
--- a/packages/core/src/ownership_state.h
+++ b/packages/core/src/ownership_state.h
@@ -116,7 +116,7 @@
 
   [[nodiscard]] detail::Lease* Find(const WorkerId& worker);
   [[nodiscard]] const detail::Lease* Find(const WorkerId& worker) const;
-  [[nodiscard]] Duration Jitter(Duration most);
+  [[nodiscard]] Duration Jitter(Duration max_delay);
   void SetTimer(const detail::Lease& lease, std::optional<Instant> at);
 
   // Scheduling of the next call to each worker (ownership_plan.cc).
@@ -163,9 +163,10 @@
   void MarkActive(Instant now, detail::Lease* lease);
   void SetPhase(detail::Lease* lease, detail::LeasePhase phase);
   void MarkLost(Instant now, detail::Lease* lease);
-  /// @return the retry interval doubled `times` times, at most `most`, with
+  /// @return the retry interval doubled `times` times, at most `max_delay`,
+  /// with
   ///   jitter over its upper half
-  [[nodiscard]] Duration RetryDelay(std::int32_t times, Duration most);
+  [[nodiscard]] Duration RetryDelay(std::int32_t times, Duration max_delay);
 };
 
 }  // namespace mustardproxy
--- a/packages/core/src/retry_budget.cc
+++ b/packages/core/src/retry_budget.cc
@@ -23,8 +23,9 @@
 
 void RetryBudget::OnRequest(Instant now) {
   this->Refill(now);
-  const double most = std::max(this->share * kBurstRequests, this->tokens);
-  this->tokens = std::min(this->tokens + this->share, most);
+  const double max_tokens =
+      std::max(this->share * kBurstRequests, this->tokens);
+  this->tokens = std::min(this->tokens + this->share, max_tokens);
 }
 
 bool RetryBudget::TryRetry(Instant now) {
@@ -40,9 +41,9 @@
       Seconds(now - this->refilled) * this->minimum_per_second;
   this->refilled = now;
   // The limit must allow at least one whole retry, even at a low minimum rate.
-  const double most =
+  const double max_tokens =
       std::max({this->minimum_per_second * kBurstSeconds, 1.0, this->tokens});
-  this->tokens = std::min(this->tokens + earned, most);
+  this->tokens = std::min(this->tokens + earned, max_tokens);
 }
 
 }  // namespace mustardproxy
--- a/packages/core/tests/ownership_change_test.cc
+++ b/packages/core/tests/ownership_change_test.cc
@@ -49,15 +49,16 @@
   cell.Run(5s);
   cell.At("d").alive = false;
   const Instant died = cell.now;
-  Duration taken{0};
+  Duration takeover_time{0};
   cell.Run(10s, [&] {
     const std::size_t owned =
         cell.OwnedBy("a") + cell.OwnedBy("b") + cell.OwnedBy("c");
-    if (owned == 24 && taken == Duration(0)) taken = cell.now - died;
+    if (owned == 24 && takeover_time == Duration(0))
+      takeover_time = cell.now - died;
   });
-  BOOST_TEST_MESSAGE("taken after " << taken.count() / 1000 << " ms");
-  BOOST_TEST((taken > Duration(0)));
-  BOOST_TEST((taken <= 5s));
+  BOOST_TEST_MESSAGE("taken after " << takeover_time.count() / 1000 << " ms");
+  BOOST_TEST((takeover_time > Duration(0)));
+  BOOST_TEST((takeover_time <= 5s));
   BOOST_TEST(cell.Peak() == kSlots);
 }
 
--- a/packages/core/tests/ownership_split_test.cc
+++ b/packages/core/tests/ownership_split_test.cc
@@ -155,9 +155,9 @@
   report.worker = kFirst;
   report.epoch = 1;
   BOOST_TEST(a.ownership.OnAttached(sent + 700ms, report));
-  const auto lapse = sent + options.lease;
-  BOOST_TEST(a.ownership.OwnedForStart(lapse - 1ms, kFirst).has_value());
-  BOOST_TEST(!a.ownership.OwnedForStart(lapse, kFirst).has_value());
+  const auto lease_end = sent + options.lease;
+  BOOST_TEST(a.ownership.OwnedForStart(lease_end - 1ms, kFirst).has_value());
+  BOOST_TEST(!a.ownership.OwnedForStart(lease_end, kFirst).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_late_answer_does_not_extend_the_lease_of_a_later_call) {
@@ -185,8 +185,8 @@
   a.ownership.Tick(now, a.membership, &actions);
   BOOST_REQUIRE(actions.size() == 3U);
   a.ownership.OnRenewed(now + 1ms, report);
-  const auto lapse = first + options.lease;
-  BOOST_TEST(!a.ownership.OwnedForStart(lapse, kFirst).has_value());
+  const auto lease_end = first + options.lease;
+  BOOST_TEST(!a.ownership.OwnedForStart(lease_end, kFirst).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
