--- a/packages/core/src/forwarding.cc
+++ b/packages/core/src/forwarding.cc
@@ -64,8 +64,9 @@
   Resources resources = DividedBy(peer.digest->free, competitors);
   const bool too_small =
       !needs.FitsIn(resources) && needs.FitsIn(peer.digest->free);
-  if (too_small && DrawsFractionalShare(self, peer, competitors))
+  if (too_small && DrawsFractionalShare(self, peer, competitors)) {
     resources = needs;
+  }
   for (const ForwardReservation& reservation : peer.reservations) {
     resources -= reservation.resources;
   }
@@ -81,8 +82,9 @@
   const Duration a_wait = a.peer->digest->predicted_wait;
   const Duration b_wait = b.peer->digest->predicted_wait;
   if (a_wait != b_wait) return a_wait < b_wait;
-  if (a.resources.slots != b.resources.slots)
+  if (a.resources.slots != b.resources.slots) {
     return a.resources.slots > b.resources.slots;
+  }
   return a.resources.cpu_milli > b.resources.cpu_milli;
 }
 
@@ -104,16 +106,16 @@
 std::optional<ProcessId> Membership::ChooseForwardTarget(
     Instant now, const Resources& needs, std::span<const ProcessId> avoid,
     std::uint64_t random) {
-  State& all = *this->state;
-  const std::int64_t competitors = all.CompetitorCount();
+  State& state = *this->state;
+  const std::int64_t competitors = state.CompetitorCount();
   std::vector<detail::Candidate> local;
   std::vector<detail::Candidate> remote;
-  for (auto& [id, peer] : all.peers) {
+  for (auto& [id, peer] : state.peers) {
     if (!peer.alive || peer.digest->stopping) continue;
     if (std::ranges::find(avoid, id) != avoid.end()) continue;
     if (!needs.FitsIn(peer.digest->largest_free)) continue;
     const Resources resources = detail::RemainingResources(
-        all.self.process, peer, needs, peer.local ? competitors : 1);
+        state.self.process, peer, needs, peer.local ? competitors : 1);
     if (!needs.FitsIn(resources)) continue;
     (peer.local ? local : remote).push_back({&peer, resources});
   }
--- a/packages/core/src/membership.cc
+++ b/packages/core/src/membership.cc
@@ -240,30 +240,31 @@
 Membership& Membership::operator=(Membership&&) noexcept = default;
 
 void Membership::Tick(Instant now, const Digest& own, Actions* actions) {
-  State& all = *this->state;
-  const bool first = !all.started;
-  if (first) all.started = now;
-  const bool changed = all.RecordDigestChange(now, own);
-  if (!first && !changed && now < all.next_wakeup) return;
-  all.ExpireSilentPeers(now);
-  const bool was_stopping = all.own.stopping;
-  all.own = own;
-  if (was_stopping != own.stopping) all.RebuildLocalMembers();
-  all.next_wakeup = now + all.options.heartbeat_interval;
-  for (Peer* peer : all.LinkedPeers()) {
-    if (all.NextHeartbeatDue(*peer) <= now) {
+  State& state = *this->state;
+  const bool first = !state.started;
+  if (first) state.started = now;
+  const bool changed = state.RecordDigestChange(now, own);
+  if (!first && !changed && now < state.next_wakeup) return;
+  state.ExpireSilentPeers(now);
+  const bool was_stopping = state.own.stopping;
+  state.own = own;
+  if (was_stopping != own.stopping) state.RebuildLocalMembers();
+  state.next_wakeup = now + state.options.heartbeat_interval;
+  for (Peer* peer : state.LinkedPeers()) {
+    if (state.NextHeartbeatDue(*peer) <= now) {
       actions->push_back(SendDigest{peer->description.process, own});
       peer->sent = now;
       ++peer->unanswered;
     }
-    all.next_wakeup = std::min(all.next_wakeup, all.NextHeartbeatDue(*peer));
+    state.next_wakeup =
+        std::min(state.next_wakeup, state.NextHeartbeatDue(*peer));
   }
 }
 
 bool Membership::OnDigest(Instant now, const Digest& digest) {
-  State& all = *this->state;
-  if (digest.process == all.self.process) return false;
-  Peer* peer = all.FindOrAdd(digest);
+  State& state = *this->state;
+  if (digest.process == state.self.process) return false;
+  Peer* peer = state.FindOrAdd(digest);
   if (peer == nullptr) return false;
   // A delayed digest from before a restart may arrive after one from after it.
   if (peer->former_incarnation == digest.incarnation) return false;
@@ -281,18 +282,18 @@
   peer->unreachable = 0;
   peer->digest = digest;
   detail::DropSeenReservations(now, restarted, &peer->reservations);
-  if (members_changed) all.RebuildLocalMembers();
+  if (members_changed) state.RebuildLocalMembers();
   return joined;
 }
 
 void Membership::OnUnreachable(Instant now, const ProcessId& peer) {
-  State& all = *this->state;
-  const auto found = all.peers.find(peer);
-  if (found == all.peers.end() || found->second.unanswered == 0) return;
+  State& state = *this->state;
+  const auto found = state.peers.find(peer);
+  if (found == state.peers.end() || found->second.unanswered == 0) return;
   ++found->second.unreachable;
-  all.ExpireSilentPeers(now);
-  all.next_wakeup =
-      std::min(all.next_wakeup, all.NextHeartbeatDue(found->second));
+  state.ExpireSilentPeers(now);
+  state.next_wakeup =
+      std::min(state.next_wakeup, state.NextHeartbeatDue(found->second));
 }
 
 std::vector<ProcessId> Membership::TakeLostPeers(Instant now) {
@@ -337,15 +338,16 @@
   // The first member that reaches the platform watches the configuration. If
   // none does, the first member keeps trying, so that an outage causes calls
   // from only one process per data centre.
-  const State& all = *this->state;
-  const auto reaches = [&all](const ProcessId& member) {
-    if (member == all.self.process) return all.own.platform_reachable;
-    return all.Find(member)->digest->platform_reachable;
+  const State& state = *this->state;
+  const auto reaches = [&state](const ProcessId& member) {
+    if (member == state.self.process) return state.own.platform_reachable;
+    return state.Find(member)->digest->platform_reachable;
   };
-  const auto watcher = std::ranges::find_if(all.local_members, reaches);
-  const ProcessId& chosen =
-      watcher == all.local_members.end() ? all.local_members.front() : *watcher;
-  return chosen == all.self.process;
+  const auto watcher = std::ranges::find_if(state.local_members, reaches);
+  const ProcessId& chosen = watcher == state.local_members.end()
+                                ? state.local_members.front()
+                                : *watcher;
+  return chosen == state.self.process;
 }
 
 std::optional<Digest> Membership::LastDigest(const ProcessId& peer) const {
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -144,55 +144,55 @@
 std::vector<WorkerId> Ownership::OnHostList(
     std::span<const WorkerDescription> workers,
     const DataCenterId& data_center) {
-  State& all = *this->state;
+  State& state = *this->state;
   std::vector<WorkerId> leaving;
   for (const WorkerDescription& worker : workers) {
     if (worker.data_center != data_center) continue;
-    Lease* known = all.Find(worker.id);
+    Lease* known = state.Find(worker.id);
     if (known != nullptr && known->description == worker) continue;
     const bool was_leaving = known != nullptr && known->description.leaving;
     if (worker.leaving && !was_leaving) leaving.push_back(worker.id);
     if (known == nullptr) {
-      all.index.emplace(worker.id, all.leases.size());
-      known = &all.leases.emplace_back();
+      state.index.emplace(worker.id, state.leases.size());
+      known = &state.leases.emplace_back();
     }
     known->description = worker;
-    all.reschedule = true;
+    state.reschedule = true;
   }
   return leaving;
 }
 
 void Ownership::Tick(Instant now, const Membership& membership,
                      Actions* actions) {
-  State& all = *this->state;
-  all.self = membership.Self();
-  all.discovery_complete =
-      all.discovery_complete || membership.DiscoveryComplete(now);
-  if (!all.discovery_complete) {
-    all.next_check = now + kDiscoveryCheckInterval;
+  State& state = *this->state;
+  state.self = membership.Self();
+  state.discovery_complete =
+      state.discovery_complete || membership.DiscoveryComplete(now);
+  if (!state.discovery_complete) {
+    state.next_check = now + kDiscoveryCheckInterval;
     return;
   }
-  if (all.reschedule || all.generation != membership.Generation()) {
-    all.RescheduleAll(now, membership);
+  if (state.reschedule || state.generation != membership.Generation()) {
+    state.RescheduleAll(now, membership);
   }
-  if (now >= all.next_check) all.CheckOrphans(now, membership);
-  while (const std::optional<std::size_t> due = all.timers.TakeDue(now)) {
-    all.RunDueAction(now, &all.leases[*due], actions);
+  if (now >= state.next_check) state.CheckOrphans(now, membership);
+  while (const std::optional<std::size_t> due = state.timers.TakeDue(now)) {
+    state.RunDueAction(now, &state.leases[*due], actions);
   }
 }
 
 void Ownership::ReleaseAll(Instant now, Actions* actions) {
-  State& all = *this->state;
-  all.stopped = true;
-  for (Lease& lease : all.leases) {
-    if (lease.phase == LeasePhase::kOwned) all.Release(now, &lease, actions);
-    all.ScheduleNext(now, lease);
+  State& state = *this->state;
+  state.stopped = true;
+  for (Lease& lease : state.leases) {
+    if (lease.phase == LeasePhase::kOwned) state.Release(now, &lease, actions);
+    state.ScheduleNext(now, lease);
   }
 }
 
 bool Ownership::OnAttached(Instant now, const WorkerReport& report) {
-  State& all = *this->state;
-  Lease* lease = all.Find(report.worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(report.worker);
   if (lease == nullptr || report.epoch != lease->epoch) return false;
   if (lease->phase == LeasePhase::kOwned) {
     return report.incarnation != lease->incarnation;
@@ -200,39 +200,39 @@
   // An answer that arrives after its call was abandoned is discarded; the next
   // attach repeats the epoch and is accepted again.
   if (lease->phase != LeasePhase::kAttaching) return false;
-  const Instant sent = all.CompleteCall(now, lease);
-  all.SetPhase(lease, LeasePhase::kOwned);
+  const Instant sent = state.CompleteCall(now, lease);
+  state.SetPhase(lease, LeasePhase::kOwned);
   lease->highest = lease->epoch;
   lease->sent = sent;
-  all.ApplyReport(sent, report, lease);
-  lease->interval = all.options.renew_interval;
+  state.ApplyReport(sent, report, lease);
+  lease->interval = state.options.renew_interval;
   if (lease->substitute) {
     lease->hand_back_delay = std::clamp(lease->hand_back_delay * 2,
                                         kFirstHandBackDelay, kMaxHandBackDelay);
     lease->hand_back_at = now + lease->hand_back_delay;
   }
-  all.ScheduleNext(now, *lease);
-  return !all.stopped;
+  state.ScheduleNext(now, *lease);
+  return !state.stopped;
 }
 
 void Ownership::OnRenewed(Instant now, const WorkerReport& report) {
-  State& all = *this->state;
-  Lease* lease = all.Find(report.worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(report.worker);
   if (lease == nullptr || report.epoch != lease->epoch) return;
   if (lease->phase != LeasePhase::kOwned) return;
-  const Instant sent = all.CompleteCall(now, lease);
-  all.ApplyReport(sent, report, lease);
-  all.ScheduleNext(now, *lease);
+  const Instant sent = state.CompleteCall(now, lease);
+  state.ApplyReport(sent, report, lease);
+  state.ScheduleNext(now, *lease);
 }
 
 bool Ownership::OnRefused(Instant now, const WorkerRefused& refused) {
-  State& all = *this->state;
-  Lease* lease = all.Find(refused.worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(refused.worker);
   if (lease == nullptr || refused.epoch != lease->epoch) return false;
   if (lease->phase == LeasePhase::kNone) return false;
   const bool had_lease = lease->phase != LeasePhase::kAttaching;
   const bool is_own_lease =
-      refused.holder == all.self && refused.highest == lease->epoch;
+      refused.holder == state.self && refused.highest == lease->epoch;
   // A worker refuses to stop a task that is gone, although the lease is valid.
   if (lease->phase == LeasePhase::kOwned && is_own_lease) return false;
   lease->in_flight = false;
@@ -242,14 +242,15 @@
   // lease.
   lease->highest = std::max(lease->highest, refused.highest);
   const bool taken_by_other = lease->phase == LeasePhase::kOwned &&
-                              all.Preferred(*lease) &&
+                              state.Preferred(*lease) &&
                               refused.highest > lease->epoch;
   lease->contested = lease->contested || taken_by_other;
   // The first refusal only reveals the epoch, so the next attach may follow
   // immediately; after that, two processes may be competing for the worker.
   const bool free = refused.lease_left <= Duration(0);
   const bool first = lease->refusals++ == 0;
-  const Duration pause = all.RetryDelay(lease->refusals - 1, all.options.lease);
+  const Duration pause =
+      state.RetryDelay(lease->refusals - 1, state.options.lease);
   // Failure: a process that shuts down gracefully releases its workers long
   // before their leases end. Its successor, refused once before the release,
   // would leave them idle for the rest of the lease. A worker with a long
@@ -258,21 +259,21 @@
   lease->call_not_before = now + wait + (free && first ? Duration(0) : pause);
   // The worker turned out to have an owner, so this process does not compete
   // for it.
-  if (!free && !all.Preferred(*lease)) {
+  if (!free && !state.Preferred(*lease)) {
     lease->call_not_before = now + OrphanDetector::kAttachWindow;
   }
   if (had_lease) {
-    all.MarkLost(now, lease);
+    state.MarkLost(now, lease);
   } else {
-    all.SetPhase(lease, LeasePhase::kNone);
+    state.SetPhase(lease, LeasePhase::kNone);
   }
-  all.ScheduleNext(now, *lease);
+  state.ScheduleNext(now, *lease);
   return had_lease;
 }
 
 bool Ownership::OnUnreachable(Instant now, const WorkerId& worker) {
-  State& all = *this->state;
-  Lease* lease = all.Find(worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(worker);
   if (lease == nullptr || lease->phase == LeasePhase::kNone) return false;
   if (lease->in_flight && !lease->oldest_unresolved) {
     lease->oldest_unresolved = lease->sent;
@@ -282,32 +283,32 @@
   }
   lease->in_flight = false;
   ++lease->unreachable;
-  const Duration max_delay = all.options.max_unreachable_interval;
-  const Duration pause = all.RetryDelay(lease->unreachable - 1, max_delay);
+  const Duration max_delay = state.options.max_unreachable_interval;
+  const Duration pause = state.RetryDelay(lease->unreachable - 1, max_delay);
   lease->call_not_before = std::max(lease->call_not_before, now + pause);
   // No call that reached the worker before it stopped answering can have
   // extended its lease beyond this time. A single lost call does not count as a
   // loss: starts renew the lease too, and the lease of an idle worker may have
   // expired long ago without harm.
-  const bool lapsed = now >= lease->unreachable_since + all.options.lease;
+  const bool lapsed = now >= lease->unreachable_since + state.options.lease;
   const bool releasing = lease->phase == LeasePhase::kReleasing;
   const bool lost = releasing || (lease->phase == LeasePhase::kOwned && lapsed);
   if (lost) {
-    all.MarkLost(now, lease);
+    state.MarkLost(now, lease);
   } else if (lease->phase == LeasePhase::kAttaching) {
-    all.SetPhase(lease, LeasePhase::kNone);
+    state.SetPhase(lease, LeasePhase::kNone);
   }
-  all.ScheduleNext(now, *lease);
+  state.ScheduleNext(now, *lease);
   return lost;
 }
 
 void Ownership::OnReleased(Instant now, const WorkerId& worker) {
-  State& all = *this->state;
-  Lease* lease = all.Find(worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kReleasing) return;
   lease->in_flight = false;
-  all.MarkLost(now, lease);
-  all.ScheduleNext(now, *lease);
+  state.MarkLost(now, lease);
+  state.ScheduleNext(now, *lease);
 }
 
 void Ownership::OnStartSent(Instant now, const WorkerId& worker) {
--- a/packages/core/src/worker_health.cc
+++ b/packages/core/src/worker_health.cc
@@ -268,21 +268,21 @@
 
 void WorkerHealth::OnSuccess(Instant now, const WorkerId& worker,
                              const ServiceId& service) {
-  State& all = *this->state;
-  all.latest_time = std::max(all.latest_time, now);
+  State& state = *this->state;
+  state.latest_time = std::max(state.latest_time, now);
   if (!service.Empty()) {
-    const auto known = all.services.find(service);
-    if (known != all.services.end()) known->second.succeeded = now;
+    const auto known = state.services.find(service);
+    if (known != state.services.end()) known->second.succeeded = now;
   }
-  const auto found = all.workers.find(worker);
-  if (found == all.workers.end()) return;
+  const auto found = state.workers.find(worker);
+  if (found == state.workers.end()) return;
   HealthRecord& record = found->second;
   if (record.stage == HealthStage::kHealthy &&
       record.consecutive_failures.empty()) {
     return;
   }
-  all.ClearFailures(worker, &record);
-  all.dirty.insert(worker);
+  state.ClearFailures(worker, &record);
+  state.dirty.insert(worker);
   // An answer that was in transit when the worker was ejected does not show
   // that it has recovered.
   if (record.stage != HealthStage::kEjected || now < record.ejected_until) {
@@ -296,21 +296,21 @@
 void WorkerHealth::OnFailure(Instant now, const WorkerId& worker,
                              const ServiceId& service,
                              const RequestId& request) {
-  State& all = *this->state;
-  all.latest_time = std::max(all.latest_time, now);
-  const auto found = all.workers.find(worker);
-  if (found == all.workers.end()) return;
+  State& state = *this->state;
+  state.latest_time = std::max(state.latest_time, now);
+  const auto found = state.workers.find(worker);
+  if (found == state.workers.end()) return;
   HealthRecord& record = found->second;
-  all.Track(request, worker);
-  all.dirty.insert(worker);
-  detail::RequestRecord& tracked = all.requests[request];
+  state.Track(request, worker);
+  state.dirty.insert(worker);
+  detail::RequestRecord& tracked = state.requests[request];
   // The failure of a faulty request says nothing about the worker.
   if (tracked.at_fault) return;
-  all.AddFailure(worker, {service, request}, &record);
-  tracked.at_fault = all.FailedOnHealthyWorkers(request);
-  if (tracked.at_fault) return all.DiscountRequest(now, request);
-  if (all.ServiceAtFault(service)) return;
-  all.EjectIfFailing(now, worker, &record);
+  state.AddFailure(worker, {service, request}, &record);
+  tracked.at_fault = state.FailedOnHealthyWorkers(request);
+  if (tracked.at_fault) return state.DiscountRequest(now, request);
+  if (state.ServiceAtFault(service)) return;
+  state.EjectIfFailing(now, worker, &record);
 }
 
 void WorkerHealth::State::EjectIfFailing(Instant now, const WorkerId& worker,
@@ -348,14 +348,14 @@
 }
 
 std::vector<WorkerId> WorkerHealth::TakeChanged(Instant now) {
-  State& all = *this->state;
-  all.latest_time = std::max(all.latest_time, now);
-  std::set<WorkerId> due = std::move(all.dirty);
-  all.dirty.clear();
-  due.insert(all.time_dependent.begin(), all.time_dependent.end());
+  State& state = *this->state;
+  state.latest_time = std::max(state.latest_time, now);
+  std::set<WorkerId> due = std::move(state.dirty);
+  state.dirty.clear();
+  due.insert(state.time_dependent.begin(), state.time_dependent.end());
   std::vector<WorkerId> changed;
   for (const WorkerId& worker : due) {
-    all.RefreshAvailability(now, worker, &changed);
+    state.RefreshAvailability(now, worker, &changed);
   }
   return changed;
 }
--- a/packages/core/tests/ownership_change_test.cc
+++ b/packages/core/tests/ownership_change_test.cc
@@ -53,8 +53,9 @@
   cell.Run(10s, [&] {
     const std::size_t owned =
         cell.OwnedBy("a") + cell.OwnedBy("b") + cell.OwnedBy("c");
-    if (owned == 24 && takeover_time == Duration(0))
+    if (owned == 24 && takeover_time == Duration(0)) {
       takeover_time = cell.now - died;
+    }
   });
   BOOST_TEST_MESSAGE("taken after " << takeover_time.count() / 1000 << " ms");
   BOOST_TEST((takeover_time > Duration(0)));
