--- a/packages/core/src/ownership_state.h
+++ b/packages/core/src/ownership_state.h
@@ -163,8 +163,7 @@
   void MarkActive(Instant now, detail::Lease* lease);
   void SetPhase(detail::Lease* lease, detail::LeasePhase phase);
   void MarkLost(Instant now, detail::Lease* lease);
-  /// @return the retry interval doubled `times` times, at most `max_delay`,
-  /// with
+  /// @return the retry interval doubled `times` times up to `max_delay`, with
   ///   jitter over its upper half
   [[nodiscard]] Duration RetryDelay(std::int32_t times, Duration max_delay);
 };
