--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -51,8 +51,8 @@
          << "; the largest worker has " << largest.*part.part;
     return text.str();
   }
-  text << "no worker has all of " << DescribeAll(task)
-       << " at once; the largest worker has " << DescribeAll(largest);
+  text << "no single worker has " << DescribeAll(task)
+       << "; the largest worker has " << DescribeAll(largest);
   return text.str();
 }
 
@@ -81,8 +81,8 @@
   if (room >= service.tasks) return {};
   std::ostringstream text;
   text << "the request has " << service.tasks << " tasks of "
-       << DescribeAll(service.resources) << "; all workers, emptied, hold "
-       << room << "; the largest worker has "
+       << DescribeAll(service.resources) << "; all workers together can run "
+       << room << " when idle; the largest worker has "
        << DescribeAll(ledger.LargestCapacity());
   return {Error::kGangImpossible, text.str(), Duration(0)};
 }
@@ -105,9 +105,9 @@
   const std::int64_t kept = below_share ? 0 : limit / kReservedQueueDivisor;
   if (counts.all < limit - kept) return {};
   std::ostringstream text;
-  text << counts.all << " requests of profile " << service.profile.id
-       << " wait; its limit is " << limit;
-  if (kept > 0) text << ", a tenth of it kept for teams below their share";
+  text << "profile " << service.profile.id << " has " << counts.all
+       << " queued requests; its limit is " << limit;
+  if (kept > 0) text << ", a tenth reserved for teams below their share";
   return {Error::kQueueFull, text.str(),
           BoundRetryAfter(ForecastDrain(now, state))};
 }
@@ -130,8 +130,8 @@
   if (wait <= allowed) return {};
   std::ostringstream text;
   text << "the predicted wait is " << WholeMilliseconds(wait) << " ms";
-  if (quota_wait > room_wait) text << " for the quota of the team";
-  text << "; allowed are " << WholeMilliseconds(allowed) << " ms";
+  if (quota_wait > room_wait) text << " because of the quota of the team";
+  text << "; the limit is " << WholeMilliseconds(allowed) << " ms";
   return {Error::kWaitTooLong, text.str(), BoundRetryAfter(wait - allowed)};
 }
 
