--- a/packages/core/include/mustardproxy/core/resource_math.h
+++ b/packages/core/include/mustardproxy/core/resource_math.h
@@ -16,10 +16,10 @@
 /// Multiplies each component by `count`.
 [[nodiscard]] Resources Multiply(const Resources& resources,
                                  std::int64_t count);
-/// @return number of tasks of this size that fit into `room` together;
+/// @return number of tasks of this size that fit into `available` together;
 ///   components that a task does not need count as `kUnboundedCount`
 [[nodiscard]] std::int64_t CountFitting(const Resources& task,
-                                        const Resources& room);
+                                        const Resources& available);
 /// @return largest component of `used` relative to `total`; components whose
 ///   total is zero are ignored
 [[nodiscard]] double DominantShare(const Resources& used,
--- a/packages/core/include/mustardproxy/core/resources.h
+++ b/packages/core/include/mustardproxy/core/resources.h
@@ -34,11 +34,12 @@
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
 
-  /// @return true if no component exceeds that of `room`
-  [[nodiscard]] bool FitsIn(const Resources& room) const {
-    return this->cpu_milli <= room.cpu_milli &&
-           this->memory_mb <= room.memory_mb &&
-           this->accelerators <= room.accelerators && this->slots <= room.slots;
+  /// @return true if no component exceeds that of `available`
+  [[nodiscard]] bool FitsIn(const Resources& available) const {
+    return this->cpu_milli <= available.cpu_milli &&
+           this->memory_mb <= available.memory_mb &&
+           this->accelerators <= available.accelerators &&
+           this->slots <= available.slots;
   }
 };
 
--- a/packages/core/src/ledger/free_capacity_index.cc
+++ b/packages/core/src/ledger/free_capacity_index.cc
@@ -26,20 +26,20 @@
 
 void FreeCapacityIndex::UpdateLargest(Block* block) {
   PackedResources largest;
-  for (const Item& item : block->items) largest.RaiseToMax(item.room);
+  for (const Item& item : block->items) largest.RaiseToMax(item.free);
   block->largest = largest;
 }
 
 void FreeCapacityIndex::Insert(const IndexKey& key,
-                               const PackedResources& room) {
+                               const PackedResources& free) {
   if (this->blocks.empty()) {
-    this->blocks.push_back({{{key, room}}, room});
+    this->blocks.push_back({{{key, free}}, free});
     return;
   }
   const std::size_t position = this->BlockOf(key);
   Block& block = this->blocks[position];
-  block.items.insert(LowerBound(key, &block.items), {key, room});
-  block.largest.RaiseToMax(room);
+  block.items.insert(LowerBound(key, &block.items), {key, free});
+  block.largest.RaiseToMax(free);
   if (block.items.size() > kBlockSize) this->Split(position);
 }
 
@@ -60,14 +60,14 @@
 void FreeCapacityIndex::EraseAt(std::size_t position,
                                 std::vector<Item>::iterator item) {
   Block& block = this->blocks[position];
-  const PackedResources room = item->room;
+  const PackedResources free = item->free;
   block.items.erase(item);
   if (block.items.empty()) {
     this->blocks.erase(this->blocks.begin() +
                        static_cast<std::ptrdiff_t>(position));
     return;
   }
-  if (room.ReachesAny(block.largest)) UpdateLargest(&block);
+  if (free.ReachesAny(block.largest)) UpdateLargest(&block);
 }
 
 void FreeCapacityIndex::Erase(const IndexKey& key) {
@@ -80,18 +80,18 @@
 }
 
 void FreeCapacityIndex::Move(const IndexKey& from, const IndexKey& to,
-                             const PackedResources& room) {
+                             const PackedResources& free) {
   const std::size_t position = this->BlockOf(from);
   Block& block = this->blocks[position];
   const auto found = LowerBound(from, &block.items);
   if (position != this->BlockOf(to)) {
     this->EraseAt(position, found);
-    this->Insert(to, room);
+    this->Insert(to, free);
     return;
   }
   auto place = LowerBound(to, &block.items);
-  const bool shrinks = found->room.ReachesAny(block.largest);
-  *found = {to, room};
+  const bool shrinks = found->free.ReachesAny(block.largest);
+  *found = {to, free};
   // Shifts only the items between the old and the new position.
   if (place > found) {
     std::rotate(found, found + 1, place);
@@ -101,7 +101,7 @@
   if (shrinks) {
     UpdateLargest(&block);
   } else {
-    block.largest.RaiseToMax(room);
+    block.largest.RaiseToMax(free);
   }
 }
 
--- a/packages/core/src/ledger/free_capacity_index.h
+++ b/packages/core/src/ledger/free_capacity_index.h
@@ -34,14 +34,14 @@
  public:
   struct Item {
     IndexKey key;
-    PackedResources room;
+    PackedResources free;
   };
 
-  void Insert(const IndexKey& key, const PackedResources& room);
+  void Insert(const IndexKey& key, const PackedResources& free);
   void Erase(const IndexKey& key);
   /// Changes the key and the free resources of a worker that is in the index.
   void Move(const IndexKey& from, const IndexKey& to,
-            const PackedResources& room);
+            const PackedResources& free);
   void Clear();
 
   /// Calls `visit(item)` in ascending order of keys for each worker on which
@@ -77,7 +77,7 @@
   for (std::size_t b = this->BlockOf({from, 0}); b < this->blocks.size(); ++b) {
     if (!need.FitsIn(this->blocks[b].largest)) continue;
     for (const Item& item : this->blocks[b].items) {
-      if (need.FitsIn(item.room) && !visit(item)) return;
+      if (need.FitsIn(item.free) && !visit(item)) return;
     }
   }
 }
@@ -90,7 +90,7 @@
     if (!need.FitsIn(block->largest)) continue;
     for (auto item = block->items.rbegin(); item != block->items.rend();
          ++item) {
-      if (need.FitsIn(item->room) && !visit(*item)) return;
+      if (need.FitsIn(item->free) && !visit(*item)) return;
     }
   }
 }
--- a/packages/core/src/ledger/free_resources_table.cc
+++ b/packages/core/src/ledger/free_resources_table.cc
@@ -2,18 +2,18 @@
 
 namespace mustardproxy::detail {
 
-void FreeResourcesTable::Set(WorkerIndex worker, const PackedResources& room) {
+void FreeResourcesTable::Set(WorkerIndex worker, const PackedResources& free) {
   const std::size_t block = worker / kBlockSize;
   if (worker >= this->free_resources.size())
     this->free_resources.resize(worker + 1, kNone);
   if (block >= this->largest.size()) this->largest.resize(block + 1, kNone);
   const bool may_shrink =
       this->free_resources[worker].ReachesAny(this->largest[block]);
-  this->free_resources[worker] = room;
+  this->free_resources[worker] = free;
   if (may_shrink) {
     this->UpdateLargest(block);
   } else {
-    this->largest[block].RaiseToMax(room);
+    this->largest[block].RaiseToMax(free);
   }
 }
 
--- a/packages/core/src/ledger/free_resources_table.h
+++ b/packages/core/src/ledger/free_resources_table.h
@@ -18,13 +18,13 @@
 class FreeResourcesTable {
  public:
   /// Grows the table as needed.
-  void Set(WorkerIndex worker, const PackedResources& room);
+  void Set(WorkerIndex worker, const PackedResources& free);
   /// Marks a worker as unused; not even an empty task fits there afterwards.
   void Clear(WorkerIndex worker);
   /// @return component-wise maximum over all workers
   [[nodiscard]] PackedResources Largest() const;
 
-  /// Calls `visit(worker, room)` for each worker on which `need` fits, until it
+  /// Calls `visit(worker, free)` for each worker on which `need` fits, until it
   /// returns false.
   template <typename Visitor>
   void Visit(const PackedResources& need, Visitor visit) const;
--- a/packages/core/src/ledger/gang_plan.cc
+++ b/packages/core/src/ledger/gang_plan.cc
@@ -35,12 +35,12 @@
     for (const WorkerIndex worker : table.Racks()[rack].workers) {
       const WorkerEntry& entry = table.At(worker);
       if (!entry.placeable || !IsAllowed(table, worker, need.avoid)) continue;
-      const std::int64_t room =
+      const std::int64_t fitting_tasks =
           CountFitting(need.resources, table.Free(worker));
       this->positions.emplace(worker, this->candidates.size());
-      this->candidates.push_back({worker, rack, room});
+      this->candidates.push_back({worker, rack, fitting_tasks});
       this->free.push_back(table.Free(worker));
-      this->total += room;
+      this->total += fitting_tasks;
     }
   }
 }
@@ -51,11 +51,11 @@
   const auto position = this->positions.find(*worker);
   if (position == this->positions.end()) return;
   GangCandidate& candidate = this->candidates[position->second];
-  Resources& room = this->free[position->second];
-  room =
-      ComponentMin(room + release.resources, this->table.At(*worker).capacity);
+  Resources& available = this->free[position->second];
+  available = ComponentMin(available + release.resources,
+                           this->table.At(*worker).capacity);
   this->total -= candidate.fitting_tasks;
-  candidate.fitting_tasks = CountFitting(this->need.resources, room);
+  candidate.fitting_tasks = CountFitting(this->need.resources, available);
   this->total += candidate.fitting_tasks;
 }
 
@@ -68,17 +68,17 @@
 std::optional<GangPlan> PlanGang(const WorkerTable& table,
                                  const GangDemand& need,
                                  std::span<const ExpectedRelease> releases) {
-  FutureCapacity room(table, need);
+  FutureCapacity future(table, need);
   GangPlan plan;
   plan.at = need.now;
   for (const ExpectedRelease& release : releases) {
-    if (room.Total() >= need.tasks) break;
-    room.Release(release);
+    if (future.Total() >= need.tasks) break;
+    future.Release(release);
     plan.at = std::max(plan.at, release.at);
   }
-  if (room.Total() < need.tasks) return std::nullopt;
+  if (future.Total() < need.tasks) return std::nullopt;
   for (const WorkerIndex worker :
-       PlaceGang(room.Candidates(), need.tasks, need.packing)) {
+       PlaceGang(future.Candidates(), need.tasks, need.packing)) {
     plan.workers.push_back(table.At(worker).id);
   }
   return plan;
--- a/packages/core/src/ledger/ledger.cc
+++ b/packages/core/src/ledger/ledger.cc
@@ -141,9 +141,10 @@
       const WorkerEntry& entry = table.At(worker);
       if (!entry.placeable || !detail::IsAllowed(table, worker, avoid))
         continue;
-      const std::int64_t room =
+      const std::int64_t fitting_tasks =
           CountFitting(resources, this->state->Available(worker, holds));
-      if (room > 0) candidates.push_back({worker, rack, room});
+      if (fitting_tasks > 0)
+        candidates.push_back({worker, rack, fitting_tasks});
     }
   }
   return this->state->WorkerIds(PlaceGang(candidates, tasks, packing));
@@ -197,11 +198,11 @@
 }
 
 std::int64_t Ledger::CountFittingWhenIdle(const Resources& resources) const {
-  std::int64_t room = 0;
+  std::int64_t fitting_tasks = 0;
   for (const detail::CapacityClass& kind : this->state->table.Classes()) {
-    room += kind.workers * CountFitting(resources, kind.capacity);
+    fitting_tasks += kind.workers * CountFitting(resources, kind.capacity);
   }
-  return room;
+  return fitting_tasks;
 }
 
 Resources Ledger::LargestCapacity() const {
--- a/packages/core/src/ledger/packed_resources.h
+++ b/packages/core/src/ledger/packed_resources.h
@@ -36,10 +36,11 @@
   }
 
   /// Branch-free, since the result of each comparison is unpredictable.
-  [[nodiscard]] bool FitsIn(const PackedResources& room) const {
+  [[nodiscard]] bool FitsIn(const PackedResources& available) const {
     int too_large = 0;
     for (std::size_t i = 0; i < kComponents; ++i) {
-      too_large |= static_cast<int>(this->components[i] > room.components[i]);
+      too_large |=
+          static_cast<int>(this->components[i] > available.components[i]);
     }
     return too_large == 0;
   }
--- a/packages/core/src/ledger/packing_policy.cc
+++ b/packages/core/src/ledger/packing_policy.cc
@@ -26,14 +26,14 @@
 /// @return cost of the resources left unused on a worker: their size plus a
 ///   penalty for the imbalance between processors and memory, since later tasks
 ///   cannot use one without the other
-double LeftoverCost(const PackedResources& room, const PackedResources& need,
+double LeftoverCost(const PackedResources& free, const PackedResources& need,
                     const CapacityScale& scale) {
-  const double cpu = (room.components[0] - need.components[0]) * scale.cpu;
+  const double cpu = (free.components[0] - need.components[0]) * scale.cpu;
   const double memory =
-      (room.components[1] - need.components[1]) * scale.memory;
+      (free.components[1] - need.components[1]) * scale.memory;
   const double accelerators =
-      (room.components[2] - need.components[2]) * scale.accelerators;
-  const double slots = (room.components[3] - need.components[3]) * scale.slots;
+      (free.components[2] - need.components[2]) * scale.accelerators;
+  const double slots = (free.components[3] - need.components[3]) * scale.slots;
   const double size = cpu + memory + accelerators + kSlotWeight * slots;
   return size + kImbalanceWeight * std::abs(cpu - memory);
 }
@@ -52,7 +52,7 @@
   const PackedResources packed = PackedResources::Pack(need.resources);
   const auto consider = [&](const Item& item) {
     if (!IsAllowed(table, item.key.worker, need.avoid)) return true;
-    const double cost = LeftoverCost(item.room, packed, table.Scale());
+    const double cost = LeftoverCost(item.free, packed, table.Scale());
     if (cost < lowest_cost) {
       best = item.key.worker;
       lowest_cost = cost;
@@ -91,14 +91,14 @@
 
 std::optional<WorkerIndex> Spread::Choose(const WorkerTable& table,
                                           const TaskDemand& need) const {
-  std::optional<WorkerIndex> emptiest;
+  std::optional<WorkerIndex> most_free;
   table.BySize().VisitDescending(
       PackedResources::Pack(need.resources), [&](const Item& item) {
         if (!IsAllowed(table, item.key.worker, need.avoid)) return true;
-        emptiest = item.key.worker;
+        most_free = item.key.worker;
         return false;
       });
-  return emptiest;
+  return most_free;
 }
 
 }  // namespace
--- a/packages/core/src/ledger/resource_math.cc
+++ b/packages/core/src/ledger/resource_math.cc
@@ -5,9 +5,9 @@
 namespace mustardproxy {
 namespace {
 
-std::int64_t CountComponent(std::int64_t task, std::int64_t room) {
+std::int64_t CountComponent(std::int64_t task, std::int64_t available) {
   if (task <= 0) return kUnboundedCount;
-  return room <= 0 ? 0 : room / task;
+  return available <= 0 ? 0 : available / task;
 }
 
 double ComponentShare(std::int64_t used, std::int64_t total) {
@@ -38,11 +38,11 @@
           resources.accelerators * count, resources.slots * count};
 }
 
-std::int64_t CountFitting(const Resources& task, const Resources& room) {
-  return std::min({CountComponent(task.cpu_milli, room.cpu_milli),
-                   CountComponent(task.memory_mb, room.memory_mb),
-                   CountComponent(task.accelerators, room.accelerators),
-                   CountComponent(task.slots, room.slots)});
+std::int64_t CountFitting(const Resources& task, const Resources& available) {
+  return std::min({CountComponent(task.cpu_milli, available.cpu_milli),
+                   CountComponent(task.memory_mb, available.memory_mb),
+                   CountComponent(task.accelerators, available.accelerators),
+                   CountComponent(task.slots, available.slots)});
 }
 
 double DominantShare(const Resources& used, const Resources& total) {
--- a/packages/core/src/ledger/worker_table.cc
+++ b/packages/core/src/ledger/worker_table.cc
@@ -133,36 +133,36 @@
 void WorkerTable::RebuildSizeIndex() {
   this->by_size.Clear();
   for (const auto& [id, worker] : this->by_id) {
-    IndexedState& known = this->indexed[worker];
-    known.size_key = this->SizeKey(known.available);
-    this->by_size.Insert({known.size_key, worker},
-                         PackedResources::Pack(known.available));
+    IndexedState& state = this->indexed[worker];
+    state.size_key = this->SizeKey(state.available);
+    this->by_size.Insert({state.size_key, worker},
+                         PackedResources::Pack(state.available));
   }
 }
 
 void WorkerTable::Refresh(WorkerIndex worker) {
-  IndexedState& known = this->indexed[worker];
+  IndexedState& state = this->indexed[worker];
   const WorkerEntry& entry = this->entries[worker];
   const Resources free = entry.Free();
-  const Resources change = free - known.free;
+  const Resources change = free - state.free;
   this->total_free += change;
-  this->racks[known.rack].free += change;
-  known.free = free;
-  const std::int64_t room = CountFitting(this->tracked, free);
-  this->tracked_fit_count += room - known.tracked_fit_count;
-  known.tracked_fit_count = room;
+  this->racks[state.rack].free += change;
+  state.free = free;
+  const std::int64_t fit_count = CountFitting(this->tracked, free);
+  this->tracked_fit_count += fit_count - state.tracked_fit_count;
+  state.tracked_fit_count = fit_count;
   this->Reindex(worker, ClampToZero(free - entry.held));
 }
 
 void WorkerTable::Reindex(WorkerIndex worker, const Resources& available) {
-  IndexedState& known = this->indexed[worker];
-  if (available == known.available) return;
-  const PackedResources room = PackedResources::Pack(available);
-  const IndexKey from{known.size_key, worker};
-  known.available = available;
-  known.size_key = this->SizeKey(available);
-  this->free_table.Set(worker, room);
-  this->by_size.Move(from, {known.size_key, worker}, room);
+  IndexedState& state = this->indexed[worker];
+  if (available == state.available) return;
+  const PackedResources packed = PackedResources::Pack(available);
+  const IndexKey from{state.size_key, worker};
+  state.available = available;
+  state.size_key = this->SizeKey(available);
+  this->free_table.Set(worker, packed);
+  this->by_size.Move(from, {state.size_key, worker}, packed);
 }
 
 void WorkerTable::Hold(WorkerIndex worker, const Resources& resources) {
@@ -185,9 +185,9 @@
   this->tracked = task;
   this->tracked_fit_count = 0;
   for (const auto& [id, worker] : this->by_id) {
-    IndexedState& known = this->indexed[worker];
-    known.tracked_fit_count = CountFitting(task, known.free);
-    this->tracked_fit_count += known.tracked_fit_count;
+    IndexedState& state = this->indexed[worker];
+    state.tracked_fit_count = CountFitting(task, state.free);
+    this->tracked_fit_count += state.tracked_fit_count;
   }
 }
 
--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -77,12 +77,13 @@
             DescribeTooLarge(service.resources, ledger.LargestCapacity()),
             Duration(0)};
   }
-  const std::int64_t room = ledger.CountFittingWhenIdle(service.resources);
-  if (room >= service.tasks) return {};
+  const std::int64_t fitting_tasks =
+      ledger.CountFittingWhenIdle(service.resources);
+  if (fitting_tasks >= service.tasks) return {};
   std::ostringstream text;
   text << "the request has " << service.tasks << " tasks of "
        << DescribeAll(service.resources) << "; all workers together can run "
-       << room << " when idle; the largest worker has "
+       << fitting_tasks << " when idle; the largest worker has "
        << DescribeAll(ledger.LargestCapacity());
   return {Error::kGangImpossible, text.str(), Duration(0)};
 }
@@ -97,17 +98,17 @@
       found == state.queued_by_profile.end() ? ProfileCount{} : found->second;
   const std::int64_t limit = service.profile.queue_limit;
   const double weight = state.catalog.TeamAt(team).weight;
-  const double fair = static_cast<double>(limit) * weight /
-                      std::max(state.catalog.TotalWeight(), weight);
-  const std::int64_t own =
+  const double fair_share = static_cast<double>(limit) * weight /
+                            std::max(state.catalog.TotalWeight(), weight);
+  const std::int64_t own_requests =
       team < counts.by_team.size() ? counts.by_team[team] : 0;
-  const bool below_share = static_cast<double>(own) < fair;
-  const std::int64_t kept = below_share ? 0 : limit / kReservedQueueDivisor;
-  if (counts.all < limit - kept) return {};
+  const bool below_share = static_cast<double>(own_requests) < fair_share;
+  const std::int64_t reserved = below_share ? 0 : limit / kReservedQueueDivisor;
+  if (counts.all < limit - reserved) return {};
   std::ostringstream text;
   text << "profile " << service.profile.id << " has " << counts.all
        << " queued requests; its limit is " << limit;
-  if (kept > 0) text << ", a tenth reserved for teams below their share";
+  if (reserved > 0) text << ", a tenth reserved for teams below their share";
   return {Error::kQueueFull, text.str(),
           BoundRetryAfter(ForecastDrain(now, state))};
 }
@@ -125,12 +126,13 @@
   const Duration allowed =
       std::min(entry.profile.max_wait, request.placement_deadline - now);
   const Duration quota_wait = ForecastQuotaWait(state, service, team);
-  const Duration room_wait = ForecastWait(now, state, ledger, service, team);
-  const Duration wait = std::max(quota_wait, room_wait);
+  const Duration capacity_wait =
+      ForecastWait(now, state, ledger, service, team);
+  const Duration wait = std::max(quota_wait, capacity_wait);
   if (wait <= allowed) return {};
   std::ostringstream text;
   text << "the predicted wait is " << WholeMilliseconds(wait) << " ms";
-  if (quota_wait > room_wait) text << " because of the quota of the team";
+  if (quota_wait > capacity_wait) text << " because of the quota of the team";
   text << "; the limit is " << WholeMilliseconds(allowed) << " ms";
   return {Error::kWaitTooLong, text.str(), BoundRetryAfter(wait - allowed)};
 }
--- a/packages/core/src/scheduler/gang_reservation.cc
+++ b/packages/core/src/scheduler/gang_reservation.cc
@@ -113,11 +113,11 @@
 
 std::int64_t GangReservation::CountFittingInHolds(const Resources& size,
                                                   const Ledger& ledger) const {
-  std::int64_t room = 0;
+  std::int64_t fitting_tasks = 0;
   for (const auto& [worker, count] : this->planned) {
-    room += CountFitting(size, ledger.HeldResources(worker));
+    fitting_tasks += CountFitting(size, ledger.HeldResources(worker));
   }
-  return room;
+  return fitting_tasks;
 }
 
 std::optional<Instant> GangReservation::NextPlanTime() const {
--- a/packages/core/src/scheduler/headroom.cc
+++ b/packages/core/src/scheduler/headroom.cc
@@ -95,8 +95,8 @@
 }
 
 std::int64_t Headroom::ReservedTasksFor(std::int32_t priority) const {
-  const std::int64_t wanted = this->ReservedTasks();
-  return wanted - (wanted >> std::clamp(priority, 0, kMaxPriorityShift));
+  const std::int64_t reserved = this->ReservedTasks();
+  return reserved - (reserved >> std::clamp(priority, 0, kMaxPriorityShift));
 }
 
 std::optional<Instant> Headroom::NextUpdate() const {
--- a/packages/core/src/scheduler/placement_pass.cc
+++ b/packages/core/src/scheduler/placement_pass.cc
@@ -218,8 +218,8 @@
       holds_reservation || this->placing_guaranteed_share
           ? std::min(service.profile.priority, 1)
           : service.profile.priority;
-  const std::int64_t wanted = headroom.ReservedTasksFor(priority);
-  if (wanted == 0) return true;
+  const std::int64_t reserved = headroom.ReservedTasksFor(priority);
+  if (reserved == 0) return true;
   std::int64_t left = this->ledger->TrackedFitCount();
   const GangReservation& reservation = this->state->reservation;
   const bool outranks = reservation.OutrankedBy(service.profile.priority);
@@ -235,7 +235,7 @@
             this->ledger->TrackedFitCountWithout(workers[i], taken);
     i = next;
   }
-  return left >= wanted;
+  return left >= reserved;
 }
 
 void PlacementPass::MaybeReserve(const QueueEntry& entry,
--- a/packages/core/src/scheduler/rates.cc
+++ b/packages/core/src/scheduler/rates.cc
@@ -35,9 +35,9 @@
 double ArrivalRate::PerSecond(Instant now) const {
   if (!this->first) return 0.0;
   const double age = std::max(0.0, Seconds(now - this->last));
-  const double whole =
+  const double observed =
       std::max(kMinArrivalAgeSeconds, Seconds(now - *this->first));
-  const double covered = 1.0 - std::exp(-whole / kDecaySeconds);
+  const double covered = 1.0 - std::exp(-observed / kDecaySeconds);
   return this->weight * std::exp(-age / kDecaySeconds) /
          (kDecaySeconds * covered);
 }
@@ -45,9 +45,9 @@
 void DrainRate::Observe(Instant now, double placed, bool backlogged) {
   if (this->backlogged_since) {
     const double passed = std::max(0.0, Seconds(now - *this->backlogged_since));
-    const double kept = std::exp(-passed / kDecaySeconds);
-    this->amount = this->amount * kept + placed;
-    this->seconds = this->seconds * kept + passed;
+    const double decay = std::exp(-passed / kDecaySeconds);
+    this->amount = this->amount * decay + placed;
+    this->seconds = this->seconds * decay + passed;
     this->last_observed = now;
   }
   this->backlogged_since.reset();
--- a/packages/core/src/scheduler/victim_search.cc
+++ b/packages/core/src/scheduler/victim_search.cc
@@ -23,7 +23,7 @@
 
 /// Candidate victims on one worker, and the capacity free there without them.
 struct WorkerVictims {
-  Resources room;
+  Resources free;
   std::vector<const RunningEntry*> victims;
 };
 
@@ -51,9 +51,9 @@
 void RemoveUnneededVictims(const Resources& task,
                            WorkerVictims* worker_victims) {
   std::erase_if(worker_victims->victims, [&](const RunningEntry* victim) {
-    const Resources without = worker_victims->room - victim->resources;
+    const Resources without = worker_victims->free - victim->resources;
     if (!task.FitsIn(without)) return false;
-    worker_victims->room = without;
+    worker_victims->free = without;
     return true;
   });
 }
@@ -68,11 +68,11 @@
     const auto [found, added] = by_worker.try_emplace(entry.worker);
     WorkerVictims& worker_victims = found->second;
     if (added) {
-      worker_victims.room = ledger.FreeOn(entry.worker).value_or(Resources{});
+      worker_victims.free = ledger.FreeOn(entry.worker).value_or(Resources{});
     }
-    worker_victims.room += entry.resources;
+    worker_victims.free += entry.resources;
     worker_victims.victims.push_back(&entry);
-    if (task.FitsIn(worker_victims.room)) {
+    if (task.FitsIn(worker_victims.free)) {
       RemoveUnneededVictims(task, &worker_victims);
       chosen = worker_victims.victims;
       return false;
--- a/packages/core/src/scheduler/wait_forecast.cc
+++ b/packages/core/src/scheduler/wait_forecast.cc
@@ -49,12 +49,13 @@
     if (!fits && state.running.Preemptible() == Resources{}) return 0;
   } else {
     if (!fits) return 0;
-    const std::int64_t wanted =
+    const std::int64_t reserved =
         state.headroom.ReservedTasksFor(service.profile.priority);
-    if (wanted > 0 && ledger.TrackedFitCount() <= wanted) return 0;
+    if (reserved > 0 && ledger.TrackedFitCount() <= reserved) return 0;
   }
-  const auto room = static_cast<double>(CountFitting(service.resources, free));
-  return room * state.DominantShareOf(service.resources);
+  const auto fitting_tasks =
+      static_cast<double>(CountFitting(service.resources, free));
+  return fitting_tasks * state.DominantShareOf(service.resources);
 }
 
 /// @return share of the cell per second that is available to one priority
