--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -35,17 +35,18 @@
   if (session.hold_in_flight || session.gone) return false;
   if (session.info.address.empty()) return false;
   // Workers of services that are not in the desired state are not managed.
-  const bool ours =
+  const bool managed =
       !session.runs.empty() || this->context->HasService(session.info.service);
-  if (!ours) return false;
+  if (!managed) return false;
   const Instant now = this->context->executor->Now();
   if (now < session.next_hold) return false;
   // The worker would only list again the ends that are not stored yet. The
   // lease of its runs must still be renewed while the store is unavailable.
   const bool renewal_due = now >= session.hold_sent + this->Wait();
   if (!session.unstored_ends.empty() && !renewal_due) return false;
-  const bool untold = session.durable_end > session.sent_acknowledged_end;
-  return !session.runs.empty() || !session.fenced || untold ||
+  const bool unacknowledged =
+      session.durable_end > session.sent_acknowledged_end;
+  return !session.runs.empty() || !session.fenced || unacknowledged ||
          (session.unresponsive && session.listed);
 }
 
@@ -56,10 +57,11 @@
   // by its former incarnation makes it forget its first ends before they were
   // read. An acknowledgement is therefore sent only once, and only to an
   // incarnation that has just responded.
-  const bool untold = session.durable_end > session.sent_acknowledged_end;
+  const bool unacknowledged =
+      session.durable_end > session.sent_acknowledged_end;
   const bool verified =
       !session.unresponsive && now < session.verified + kAcknowledgeWindow;
-  if (untold && verified) order.acknowledged_end = session.durable_end;
+  if (unacknowledged && verified) order.acknowledged_end = session.durable_end;
   // Failure: a worker is permanently lost, and each attempt to reach it
   // postpones the time at which its lease is certain to have expired, so that
   // its tasks are never started elsewhere. An unresponsive worker is therefore
@@ -72,7 +74,8 @@
                   [](const auto& run) { return run.second.stop_acknowledged; });
   const bool wait = session.fenced && !session.unresponsive &&
                     !session.runs.empty() && !checking &&
-                    (verified || !untold) && session.unstored_ends.empty();
+                    (verified || !unacknowledged) &&
+                    session.unstored_ends.empty();
   order.wait = wait ? this->Wait() : Duration::zero();
   if (session.Quarantined()) {
     order.wait = std::min(order.wait, kQuarantineHoldWait);
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -219,9 +219,9 @@
   JobEntry* entry = this->Find(run.task.step.job);
   if (entry == nullptr || this->FindOpen(run) == nullptr) return;
   CrashHistory& history = entry->crashes[run.task];
-  const bool sound = this->FindStep(run.task.step)->long_running &&
-                     loss.survived >= kStableRunTime;
-  if (sound) history = {};
+  const bool stable = this->FindStep(run.task.step)->long_running &&
+                      loss.survived >= kStableRunTime;
+  if (stable) history = {};
   history.Note(loss);
 }
 
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -422,13 +422,13 @@
 bool RunControl::End(WorkerSession* session, const RunRef& run, RunEnd end,
                      std::string_view checkpoint,
                      std::function<void()> durable) {
-  const bool waits =
+  const bool pending =
       this->ApplyRunEnd(session, run, end, checkpoint, std::move(durable));
   const CrashHistory* crashes = this->context->jobs.FindCrashes(run.task);
   const bool last_start =
       crashes != nullptr && crashes->AtLimit(this->MaxLostWorkers());
   if (last_start && end != RunEnd::kDone) this->GiveUp(run.task);
-  return waits;
+  return pending;
 }
 
 bool RunControl::ApplyRunEnd(WorkerSession* session, const RunRef& run,
@@ -451,15 +451,16 @@
   // Failure: all members of a gang complete, the first end is being stored, and
   // a worker is told that it may forget another one. The owner crashes before
   // the write is done, and its successor finds no end and runs the gang again.
-  const bool tells = end == RunEnd::kDone || end == RunEnd::kFailed;
-  const bool waits =
+  const bool ended_by_itself = end == RunEnd::kDone || end == RunEnd::kFailed;
+  const bool pending =
       effect.durable ||
-      (tells && this->context->writer->HasPendingWrite(run.task.step.job));
-  if (waits) {
+      (ended_by_itself &&
+       this->context->writer->HasPendingWrite(run.task.step.job));
+  if (pending) {
     this->context->writer->Write(run.task.step.job, std::move(durable));
   }
   this->context->dispatcher->SchedulePass();
-  return waits;
+  return pending;
 }
 
 void RunControl::NoteOutcome(const WorkerSession& session,
@@ -655,8 +656,8 @@
   };
   std::vector<DownWorker> silent;
   for (const auto& [id, session] : this->context->workers) {
-    const bool waits = session->unresponsive && !session->gone;
-    if (waits && went_down(*session)) silent.push_back(describe(*session));
+    const bool pending = session->unresponsive && !session->gone;
+    if (pending && went_down(*session)) silent.push_back(describe(*session));
   }
   if (!went_down(lost)) return {};
   const DownWorker down = describe(lost);
--- a/packages/jobs/tests/cell_crash_test.cc
+++ b/packages/jobs/tests/cell_crash_test.cc
@@ -95,18 +95,18 @@
 // its loss.
 BOOST_AUTO_TEST_CASE(tasks_sharing_workers_with_crashing_tasks_complete) {
   const auto cell = SimCell::Builder().Workers(12).Build();
-  std::vector<SimJob*> sound;
+  std::vector<SimJob*> healthy;
   constexpr int kRounds = 20;
   constexpr int kCrashingEvery = 5;
   for (int i = 0; i < kRounds; ++i) {
-    sound.push_back(cell->Submit(MakeSpec({MakeStep(3, 1500, seconds(2))})));
+    healthy.push_back(cell->Submit(MakeSpec({MakeStep(3, 1500, seconds(2))})));
     if (i % kCrashingEvery == 0) {
       SubmitCrashing(cell.get(), MakeStep(2, 1500, seconds(2)), {});
     }
     cell->Time().RunFor(milliseconds(400));
   }
   cell->Settle(seconds(90));
-  for (const SimJob* job : sound) {
+  for (const SimJob* job : healthy) {
     BOOST_TEST((cell->Ask(job->job.id) == JobState::kCompleted));
   }
   CheckInvariants(cell.get());
@@ -141,10 +141,10 @@
   SimJob* crashing = SubmitCrashing(cell.get(), MakeStep(1, 1000, seconds(9)),
                                     {.after = milliseconds(800)});
   cell->Time().RunFor(milliseconds(700));
-  std::vector<SimJob*> sound;
+  std::vector<SimJob*> healthy;
   constexpr int kJobs = 60;
   for (int i = 0; i < kJobs; ++i) {
-    sound.push_back(cell->Submit(MakeSpec({MakeStep(2, 500, seconds(1))})));
+    healthy.push_back(cell->Submit(MakeSpec({MakeStep(2, 500, seconds(1))})));
     cell->Time().RunFor(milliseconds(200));
   }
   BOOST_TEST(cell->AwaitFinal(crashing->job.id, seconds(40)));
--- a/packages/jobs/tests/crash_history_test.cc
+++ b/packages/jobs/tests/crash_history_test.cc
@@ -116,9 +116,9 @@
 // Failure: an incarnation is mistaken for the previous one with the same id.
 BOOST_AUTO_TEST_CASE(each_incarnation_of_a_worker_id_counts) {
   CrashHistory history;
-  for (std::int64_t born = 1; born <= 3; ++born) {
+  for (std::int64_t start = 1; start <= 3; ++start) {
     WorkerLoss loss;
-    loss.worker = {WorkerId("a"), born};
+    loss.worker = {WorkerId("a"), start};
     history.Note(loss);
   }
   BOOST_TEST(history.Losses().size() == 3U);
