--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -103,7 +103,7 @@
         if (used != this->lease || this->leaving) return;
         if (result.end == CommitOutcome::kCommitted) return;
         if (result.end == CommitOutcome::kLeaseNotFound) {
-          this->LoseLease("lapsed before registration");
+          this->LoseLease("expired before registration");
           return;
         }
         this->executor->After(kStoreRetryDelay, this->guard.Wrap([this, used] {
@@ -153,7 +153,7 @@
   this->log->Write("cell", "lease-lost",
                    {{"lease", this->lease}, {"reason", reason}});
   this->lease = 0;
-  this->Depose("the lease at the store has ended");
+  this->Depose("the store lease has ended");
   this->Acquire();
 }
 
@@ -187,7 +187,7 @@
     // owner.
     if (event.item.revision < this->token) return;
     this->owner.reset();
-    this->Depose("the owner's key is gone");
+    this->Depose("the owner's key was deleted");
     return;
   }
   const auto node = DecodeNode(event.item.value);
@@ -205,7 +205,7 @@
     // The answer to our write was lost, and the write was applied later.
     this->BecomeOwner(event.item.revision);
   } else if (this->token != 0 && newer) {
-    this->Depose("there is a newer owner");
+    this->Depose("a newer owner was elected");
   }
 }
 
@@ -369,7 +369,7 @@
 }
 
 void CellMember::EndMembership() {
-  this->Depose("this process stops");
+  this->Depose("this process is stopping");
   if (this->lease != 0) this->store->EndLease(this->lease);
   this->lease = 0;
 }
--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -147,7 +147,7 @@
   reservation.awaits_permission =
       !this->Unpermitted(step, reservation, now + kTicketMargin).empty();
   if (!this->AllRunsPlanned(reservation)) {
-    this->GiveUp(step, "a member was stopped or lost");
+    this->GiveUp(step, "a run was stopped or its worker was lost");
   } else if (this->IsRefused(step, reservation)) {
     this->GiveUp(step, "a worker is not permitted");
   } else if (reservation.awaits_permission) {
@@ -156,7 +156,7 @@
     const bool timed_out =
         reservation.stored && now - reservation.since > kMaxReservationTime;
     if (timed_out) {
-      this->GiveUp(step, "no permissions in time");
+      this->GiveUp(step, "permissions were not granted in time");
     } else {
       this->Ask(step);
     }
--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -60,7 +60,7 @@
           .jobs = &shared.jobs,
           .token = token,
           .store_writes_per_second = parts.store_writes_per_second},
-      [this] { this->context.step_down("the store knows a newer owner"); });
+      [this] { this->context.step_down("the store has a newer owner"); });
   this->dispatcher = std::make_unique<Dispatcher>(&shared);
   this->runs = std::make_unique<RunControl>(&shared);
   this->incarnations = std::make_unique<IncarnationTracker>(&shared);
--- a/packages/jobs/src/owner_context.h
+++ b/packages/jobs/src/owner_context.h
@@ -75,7 +75,7 @@
   /// @return false, and ends this ownership, if it may not act any more
   [[nodiscard]] bool MayAct() const {
     if (this->authorized()) return true;
-    this->step_down("the store is silent for too long");
+    this->step_down("the store has not answered for too long");
     return false;
   }
   void SetDesired(std::shared_ptr<const DesiredState> changed) {
