--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -41,13 +41,14 @@
       log(log),
       self(std::move(self)),
       handlers(std::move(handlers)),
-      mirror(executor, store, log,
-             {.prefix = std::string(keys::kCell), .pause = Duration::zero()},
-             {.on_change = [this](const StoreEvent& e) { this->OnCell(e); },
-              .on_listed = [this] { this->ConsiderElection(); }}) {}
+      mirror(
+          executor, store, log,
+          {.prefix = std::string(keys::kCell), .pause = Duration::zero()},
+          {.on_change = [this](const StoreEvent& e) { this->OnCellEvent(e); },
+           .on_listed = [this] { this->ConsiderElection(); }}) {}
 
 void CellMember::Start() {
-  this->Acquire();
+  this->AcquireLease();
   this->mirror.Start();
 }
 
@@ -60,17 +61,17 @@
   return std::max(this->renewed_at, this->mirror.LastAnsweredCallAt());
 }
 
-void CellMember::Acquire() {
+void CellMember::AcquireLease() {
   if (this->leaving) return;
-  const Instant asked = this->executor->Now();
+  const Instant sent_at = this->executor->Now();
   this->store->GrantLease(
       kStoreLease,
-      this->guard.Wrap([this, asked](const Result<StoreLease>& granted) {
-        this->OnLease(asked, granted);
+      this->guard.Wrap([this, sent_at](const Result<StoreLease>& granted) {
+        this->OnLease(sent_at, granted);
       }));
 }
 
-void CellMember::OnLease(Instant asked, const Result<StoreLease>& granted) {
+void CellMember::OnLease(Instant sent_at, const Result<StoreLease>& granted) {
   if (this->leaving) return;
   if (!granted) {
     // Retried many times a second while the store is unavailable; logged once.
@@ -79,16 +80,16 @@
                        {{"reason", granted.error().message()}});
     }
     this->executor->After(kStoreRetryDelay,
-                          this->guard.Wrap([this] { this->Acquire(); }));
+                          this->guard.Wrap([this] { this->AcquireLease(); }));
     return;
   }
   this->lease = granted.value().id;
-  this->renewed_at = asked;
+  this->renewed_at = sent_at;
   this->refused = false;
   this->grant_failing = false;
   this->log->Write("cell", "lease-granted", {{"lease", this->lease}});
   this->Register();
-  this->RenewLater();
+  this->ScheduleRenewal();
   this->ConsiderElection();
 }
 
@@ -112,7 +113,7 @@
       }));
 }
 
-void CellMember::RenewLater() {
+void CellMember::ScheduleRenewal() {
   if (std::exchange(this->renewing, true)) return;
   this->executor->After(kStoreLeaseRenewal, this->guard.Wrap([this] {
     this->renewing = false;
@@ -122,27 +123,27 @@
 
 void CellMember::Renew() {
   if (this->lease == 0) return;
-  const Instant asked = this->executor->Now();
+  const Instant sent_at = this->executor->Now();
   const StoreLeaseId renewed = this->lease;
   this->store->RenewLease(
       renewed, this->guard.Wrap(
-                   [this, renewed, asked](const Result<StoreLease>& answer) {
-                     this->OnRenewed(renewed, asked, answer);
+                   [this, renewed, sent_at](const Result<StoreLease>& answer) {
+                     this->OnRenewed(renewed, sent_at, answer);
                    }));
   // The next renewal does not wait for the answer, which may never arrive.
-  this->RenewLater();
+  this->ScheduleRenewal();
 }
 
-void CellMember::OnRenewed(StoreLeaseId renewed, Instant asked,
+void CellMember::OnRenewed(StoreLeaseId renewed, Instant sent_at,
                            const Result<StoreLease>& answer) {
   if (renewed != this->lease) return;
   if (answer) {
-    this->renewed_at = std::max(this->renewed_at, asked);
+    this->renewed_at = std::max(this->renewed_at, sent_at);
     this->refused = false;
     return;
   }
   // A silent store is detected by the time since the last renewal.
-  const Duration took = this->executor->Now() - asked;
+  const Duration took = this->executor->Now() - sent_at;
   if (took < kStoreSilenceTimeout) this->refused = true;
   if (answer.error() == Error::kUnknownRequest) {
     this->LoseLease("lapsed");
@@ -154,10 +155,10 @@
                    {{"lease", this->lease}, {"reason", reason}});
   this->lease = 0;
   this->Depose("the store lease has ended");
-  this->Acquire();
+  this->AcquireLease();
 }
 
-void CellMember::OnCell(const StoreEvent& event) {
+void CellMember::OnCellEvent(const StoreEvent& event) {
   const std::string& key = event.item.key;
   if (key.starts_with(keys::kNodes)) {
     const ProcessId name(key.substr(keys::kNodes.size()));
@@ -327,7 +328,7 @@
   // the key.
   this->store->EndLease(this->lease);
   this->lease = 0;
-  this->Acquire();
+  this->AcquireLease();
 }
 
 void CellMember::Leave() {
--- a/packages/jobs/src/cell_member.h
+++ b/packages/jobs/src/cell_member.h
@@ -78,15 +78,15 @@
   [[nodiscard]] bool StoreAnswers() const;
 
  private:
-  void Acquire();
-  void OnLease(Instant asked, const Result<StoreLease>& lease);
+  void AcquireLease();
+  void OnLease(Instant sent_at, const Result<StoreLease>& lease);
   void Register();
-  void RenewLater();
+  void ScheduleRenewal();
   void Renew();
-  void OnRenewed(StoreLeaseId renewed, Instant asked,
+  void OnRenewed(StoreLeaseId renewed, Instant sent_at,
                  const Result<StoreLease>& lease);
   void LoseLease(std::string_view reason);
-  void OnCell(const StoreEvent& event);
+  void OnCellEvent(const StoreEvent& event);
   void OnOwnerKey(const StoreEvent& event);
   void LogMalformed(const StoreEvent& event);
   /// @return true if the owner's process has restarted, so that the incarnation
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -340,8 +340,9 @@
   const Duration chain = this->context->run_times.PredictRunTime(
       unit->entry->job.queue.name, unit->entry->remaining_path[step]);
   unit->start_by = due - chain;
-  const Instant worthless = unit->entry->learned_at + kExpiryFactor * objective;
-  unit->deadlines = {.on_time = due - chain, .useful = worthless - chain};
+  const Instant expires_at =
+      unit->entry->learned_at + kExpiryFactor * objective;
+  unit->deadlines = {.on_time = due - chain, .useful = expires_at - chain};
   unit->deadline_status = unit->deadlines.At(now);
 }
 
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -208,10 +208,11 @@
   if (!entry->done) return;
   ++entry->tries;
   if (this->AskHelper(entry) || entry->in_flight > 0) return;
-  const bool away = this->CheckGate() == WriteGate::Answer::kRefuse;
+  const bool store_unavailable =
+      this->CheckGate() == WriteGate::Answer::kRefuse;
   // "Not accepted" would be wrong if an earlier write may still be applied. The
   // caller is then answered at its deadline, or once the outcome is known.
-  if (!entry->uncertain && (away || entry->helpers.empty())) {
+  if (!entry->uncertain && (store_unavailable || entry->helpers.empty())) {
     this->GiveUp(entry, Error::kStoreUnavailable);
     return;
   }
--- a/packages/jobs/src/job_lookup.cc
+++ b/packages/jobs/src/job_lookup.cc
@@ -66,9 +66,9 @@
 }
 
 void JobLookup::ReadEnd(const SearchPtr& search,
-                        const Result<JobStatus>& otherwise) {
+                        const Result<JobStatus>& if_not_ended) {
   this->store->Read(keys::OfEnded(search->id),
-                    this->guard.Wrap([this, search, otherwise](
+                    this->guard.Wrap([this, search, if_not_ended](
                                          const Result<StoreItem>& item) {
                       if (this->HandleFailure(search, item)) return;
                       const auto status = item
@@ -78,10 +78,10 @@
                         search->done(*status);
                       } else if (item) {
                         search->done(make_error_code(Error::kMalformedReply));
-                      } else if (otherwise) {
-                        this->ReadCancel(search, otherwise.value());
+                      } else if (if_not_ended) {
+                        this->ReadCancel(search, if_not_ended.value());
                       } else {
-                        search->done(otherwise);
+                        search->done(if_not_ended);
                       }
                     }));
 }
--- a/packages/jobs/src/job_lookup.h
+++ b/packages/jobs/src/job_lookup.h
@@ -41,8 +41,9 @@
   void ReadProgress(const SearchPtr& search);
   void ReadCancel(const SearchPtr& search, const JobStatus& status);
   void ReadJob(const SearchPtr& search);
-  /// @param otherwise result from the other keys, for a job that has not ended
-  void ReadEnd(const SearchPtr& search, const Result<JobStatus>& otherwise);
+  /// @param if_not_ended result from the other keys, for a job that has not
+  /// ended
+  void ReadEnd(const SearchPtr& search, const Result<JobStatus>& if_not_ended);
   /// @return true if the search was ended or a retry is scheduled
   bool HandleFailure(const SearchPtr& search, const Result<StoreItem>& item);
 
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -43,7 +43,7 @@
 }  // namespace
 
 struct JobNode::Internals {
-  explicit Internals(const Builder& given);
+  explicit Internals(const Builder& config);
 
   void OnDesired(const StoreEvent& event);
   void OnElected(FencingToken token);
@@ -64,7 +64,7 @@
   ///   this process
   std::optional<std::string> OwnerAddress() const;
 
-  Builder given;
+  Builder config;
   CellMember member;
   PrefixMirror desired_mirror;
   Intake intake;
@@ -78,7 +78,7 @@
 };
 
 JobNode::Internals::Internals(const Builder& parts)
-    : given(parts),
+    : config(parts),
       member(parts.executor, parts.store, parts.log,
              NodeRecord{parts.process, parts.data_center, parts.peer_address,
                         parts.incarnation, parts.cpu_milli, parts.memory_mb},
@@ -110,15 +110,15 @@
       lookup(parts.executor, parts.store) {}
 
 void JobNode::Internals::OnDesired(const StoreEvent& event) {
-  const bool wanted =
-      !event.deleted && event.item.key == this->given.schema->DesiredStateKey();
+  const bool wanted = !event.deleted &&
+                      event.item.key == this->config.schema->DesiredStateKey();
   if (!wanted) return;
   Result<DesiredState> parsed =
-      this->given.schema->ParseDesiredState(event.item.value);
+      this->config.schema->ParseDesiredState(event.item.value);
   if (!parsed) {
-    this->given.log->Write("desired", "not-understood",
-                           {{"revision", event.item.revision},
-                            {"reason", parsed.error().message()}});
+    this->config.log->Write("desired", "not-understood",
+                            {{"revision", event.item.revision},
+                             {"reason", parsed.error().message()}});
     return;
   }
   // The version never decreases: a listing may arrive after a newer event.
@@ -126,16 +126,16 @@
   if (this->desired && version <= this->desired->version) return;
   this->desired =
       std::make_shared<const DesiredState>(std::move(parsed.value()));
-  this->given.log->Write("desired", "in-force",
-                         {{"version", version},
-                          {"revision", event.item.revision},
-                          {"queues", this->desired->queues.size()}});
+  this->config.log->Write("desired", "in-force",
+                          {{"version", version},
+                           {"revision", event.item.revision},
+                           {"queues", this->desired->queues.size()}});
   if (this->owner) this->owner->SetDesired(this->desired);
 }
 
 bool JobNode::Internals::Authorized() const {
   if (this->stepping_down) return false;
-  return this->given.executor->Now() <
+  return this->config.executor->Now() <
          this->member.RenewedAt() + kOwnerOutageTolerance;
 }
 
@@ -143,7 +143,7 @@
   if (std::exchange(this->stepping_down, true)) return;
   // Deferred, because functions of the owner to be destroyed are still on the
   // stack.
-  this->given.executor->Post(this->guard.Wrap(
+  this->config.executor->Post(this->guard.Wrap(
       [this, why = std::string(reason)] { this->member.Resign(why); }));
 }
 
@@ -151,16 +151,16 @@
   this->stepping_down = false;
   this->owner = std::make_unique<GroupOwner>(
       GroupOwner::Parts{
-          .executor = this->given.executor,
-          .store = this->given.store,
-          .driver = this->given.driver,
-          .adviser = this->given.adviser,
-          .peers = this->given.peers,
-          .schema = this->given.schema,
-          .log = this->given.log,
-          .metrics = this->given.metrics,
-          .store_writes_per_second = this->given.store_writes_per_second,
-          .max_lost_workers = this->given.max_lost_workers,
+          .executor = this->config.executor,
+          .store = this->config.store,
+          .driver = this->config.driver,
+          .adviser = this->config.adviser,
+          .peers = this->config.peers,
+          .schema = this->config.schema,
+          .log = this->config.log,
+          .metrics = this->config.metrics,
+          .store_writes_per_second = this->config.store_writes_per_second,
+          .max_lost_workers = this->config.max_lost_workers,
           .authorized = [this] { return this->Authorized(); },
           .step_down = [this](std::string_view why) { this->StepDown(why); }},
       token, this->desired);
@@ -177,7 +177,7 @@
   if (!this->owner) return;
   std::vector<AdviceClient> clients;
   for (const auto& [name, other] : this->member.Nodes()) {
-    const bool self = name == this->given.process;
+    const bool self = name == this->config.process;
     clients.push_back({name, self ? std::string() : other.node.peer_address});
   }
   this->owner->SetClients(clients);
@@ -190,7 +190,7 @@
   std::vector<std::string> others;
   for (const auto& [name, other] : this->member.Nodes()) {
     const std::string& address = other.node.peer_address;
-    if (name == this->given.process || address == owner) continue;
+    if (name == this->config.process || address == owner) continue;
     others.push_back(address);
   }
   if (others.empty()) return helpers;
@@ -216,16 +216,16 @@
   const auto address = this->OwnerAddress();
   if (!address) return;
   if (is_job) {
-    this->given.peers->AnnounceJob(*address,
-                                   {created.job, created.value, revision});
+    this->config.peers->AnnounceJob(*address,
+                                    {created.job, created.value, revision});
   } else {
-    this->given.peers->AnnounceCancel(*address, created.job);
+    this->config.peers->AnnounceCancel(*address, created.job);
   }
 }
 
 std::optional<std::string> JobNode::Internals::OwnerAddress() const {
   const auto& owner = this->member.Owner();
-  if (!owner || owner->owner.name == this->given.process) return std::nullopt;
+  if (!owner || owner->owner.name == this->config.process) return std::nullopt;
   return owner->owner.peer_address;
 }
 
@@ -241,7 +241,8 @@
       done(CancelRefused());
     }
   };
-  this->given.store->Read(keys::OfEnded(id), this->guard.Wrap(std::move(read)));
+  this->config.store->Read(keys::OfEnded(id),
+                           this->guard.Wrap(std::move(read)));
 }
 
 JobNode::JobNode(std::unique_ptr<Internals> state) : state(std::move(state)) {}
@@ -277,7 +278,7 @@
   job.id = id;
   job.queue = queue;
   job.spec = std::move(spec);
-  job.accepted_unix_ms = this->state->given.executor->UnixMs();
+  job.accepted_unix_ms = this->state->config.executor->UnixMs();
   this->state->intake.Create(
       {"job", id, keys::OfJob(id), EncodeJob(job), timeout}, std::move(done));
 }
@@ -295,8 +296,8 @@
       done(CancelRefused());
     }
   };
-  this->state->given.store->Read(keys::OfJob(id),
-                                 this->state->guard.Wrap(std::move(known)));
+  this->state->config.store->Read(keys::OfJob(id),
+                                  this->state->guard.Wrap(std::move(known)));
 }
 
 void JobNode::State(const JobId& id, Duration timeout,
@@ -320,8 +321,8 @@
     }
     this->state->lookup.Find(id, timeout, done);
   };
-  this->state->given.peers->QueryJob(*address, id,
-                                     this->state->guard.Wrap(std::move(asked)));
+  this->state->config.peers->QueryJob(
+      *address, id, this->state->guard.Wrap(std::move(asked)));
 }
 
 void JobNode::Pending(const QueueName& queue, Duration /*timeout*/,
@@ -335,7 +336,7 @@
     done(make_error_code(Error::kPlatformUnavailable));
     return;
   }
-  this->state->given.peers->QueryPending(*address, queue, std::move(done));
+  this->state->config.peers->QueryPending(*address, queue, std::move(done));
 }
 
 void JobNode::OnJob(AnnouncedJob job) {
@@ -377,7 +378,7 @@
 
 void JobNode::OnAsk(AdviceQuestion question,
                     JobPeerHandler::Done<Advice> done) {
-  this->state->given.adviser->Ask(std::move(question), std::move(done));
+  this->state->config.adviser->Ask(std::move(question), std::move(done));
 }
 
 JobNode::Builder& JobNode::Builder::Self(ProcessId name, DataCenterId center,
--- a/packages/jobs/src/prefix_mirror.cc
+++ b/packages/jobs/src/prefix_mirror.cc
@@ -32,21 +32,21 @@
 }
 
 void PrefixMirror::ListFrom(const std::string& after) {
-  const Instant asked = this->executor->Now();
+  const Instant sent_at = this->executor->Now();
   this->store->List(
       this->options.prefix, after,
-      this->guard.Wrap([this, asked](const Result<StorePage>& page) {
-        this->OnPage(asked, page);
+      this->guard.Wrap([this, sent_at](const Result<StorePage>& page) {
+        this->OnPage(sent_at, page);
       }));
 }
 
-void PrefixMirror::OnPage(Instant asked, const Result<StorePage>& page) {
+void PrefixMirror::OnPage(Instant sent_at, const Result<StorePage>& page) {
   if (!page) {
     this->Retry(/*anew=*/true);
     return;
   }
   this->reachable = true;
-  this->last_answered_call_at = asked;
+  this->last_answered_call_at = sent_at;
   // Pages are not a snapshot. The watch starts at the revision of the first
   // page, so changes between pages are not lost.
   if (std::exchange(this->first_page, false)) this->next = page.value().current;
@@ -75,15 +75,16 @@
 }
 
 void PrefixMirror::Watch() {
-  const Instant asked = this->executor->Now();
+  const Instant sent_at = this->executor->Now();
   this->store->Watch(
       this->options.prefix, this->next, kMaxWatchWait,
-      this->guard.Wrap([this, asked](const Result<StoreEvents>& events) {
-        this->OnEvents(asked, events);
+      this->guard.Wrap([this, sent_at](const Result<StoreEvents>& events) {
+        this->OnEvents(sent_at, events);
       }));
 }
 
-void PrefixMirror::OnEvents(Instant asked, const Result<StoreEvents>& events) {
+void PrefixMirror::OnEvents(Instant sent_at,
+                            const Result<StoreEvents>& events) {
   if (!events) {
     const bool forgotten = events.error() == Error::kHistoryLost;
     if (forgotten) {
@@ -95,7 +96,7 @@
     return;
   }
   this->reachable = true;
-  this->last_answered_call_at = asked;
+  this->last_answered_call_at = sent_at;
   this->next = std::max(this->next, events.value().current);
   for (const StoreEvent& event : events.value().events) {
     if (event.deleted) {
--- a/packages/jobs/src/prefix_mirror.h
+++ b/packages/jobs/src/prefix_mirror.h
@@ -46,10 +46,10 @@
 
  private:
   void ListFrom(const std::string& after);
-  void OnPage(Instant asked, const Result<StorePage>& page);
+  void OnPage(Instant sent_at, const Result<StorePage>& page);
   void FinishList();
   void Watch();
-  void OnEvents(Instant asked, const Result<StoreEvents>& events);
+  void OnEvents(Instant sent_at, const Result<StoreEvents>& events);
   void NotifyChanged(const StoreItem& item);
   void NotifyDeleted(const std::string& key, Revision revision);
   void Retry(bool anew);
--- a/packages/jobs/tests/cell_gang_test.cc
+++ b/packages/jobs/tests/cell_gang_test.cc
@@ -98,7 +98,7 @@
 // its start is stored. The permissions have expired by then: the workers
 // refused every start of 23 such gangs, and each had to gather its capacity
 // again.
-BOOST_AUTO_TEST_CASE(permissions_that_lapse_before_the_start_are_renewed) {
+BOOST_AUTO_TEST_CASE(permissions_that_expire_before_the_start_are_renewed) {
   const auto cell =
       SimCell::Builder().Workers(4).Queue(MakeSlowPolicyQueue(), 1.0).Build();
   SimJob* gang = cell->SubmitTo(QueueName("reviews"),
