--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -70,7 +70,7 @@
 BOOST_AUTO_TEST_CASE(highest_value_per_cost_goes_first) {
   // The oldest question is sent first.
   Push("oldest", seconds(1));
-  Push("hopeless", seconds(900), DeadlineStatus::kExpired);
+  Push("expired", seconds(900), DeadlineStatus::kExpired);
   Push("late", seconds(100), DeadlineStatus::kLate);
   Push("narrow", seconds(30));
   Push("wide", seconds(90));
@@ -81,12 +81,12 @@
   BOOST_TEST(queue.At(0).request.step.job.Text() == "wide");
   BOOST_TEST(queue.At(1).request.step.job.Text() == "narrow");
   BOOST_TEST(queue.At(2).request.step.job.Text() == "late");
-  BOOST_TEST(queue.At(3).request.step.job.Text() == "hopeless");
+  BOOST_TEST(queue.At(3).request.step.job.Text() == "expired");
 }
 
 BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_an_expensive_one) {
   Push("oldest", seconds(1));
-  Push("dear", seconds(100), DeadlineStatus::kOnTime, milliseconds(600));
+  Push("expensive", seconds(100), DeadlineStatus::kOnTime, milliseconds(600));
   Push("cheap", seconds(60), DeadlineStatus::kOnTime, milliseconds(200));
   queue.Take(0);
   queue.CountLongSent();
@@ -113,7 +113,7 @@
 // A question without remaining value is older than all others. It must not take
 // time from late questions, but it is sent in the end.
 BOOST_AUTO_TEST_CASE(expired_questions_are_rarely_promoted) {
-  Push("hopeless", seconds(1), DeadlineStatus::kExpired);
+  Push("expired", seconds(1), DeadlineStatus::kExpired);
   queue.CountLongSent();
   std::vector<std::string> sent;
   for (int i = 0; i < 20; ++i) {
@@ -122,7 +122,7 @@
     sent.push_back(queue.Take(0).request.step.job.Text());
     queue.CountLongSent();
   }
-  BOOST_TEST((std::find(sent.begin(), sent.end(), "hopeless") - sent.begin()) ==
+  BOOST_TEST((std::find(sent.begin(), sent.end(), "expired") - sent.begin()) ==
              15);
 }
 
