--- a/packages/jobs/src/options.h
+++ b/packages/jobs/src/options.h
@@ -16,7 +16,7 @@
 inline constexpr Duration kStoreLeaseRenewal = milliseconds(300);
 /// If the store has confirmed no renewal that was sent within this time, it
 /// counts as silent, and no write whose outcome would stay uncertain is sent to
-/// it. RulesOutAsCause the sum of the renewal interval and the slowest answer
+/// it. Exceeds the sum of the renewal interval and the slowest answer
 /// of a working store (0.4 s).
 inline constexpr Duration kStoreSilenceTimeout = milliseconds(900);
 
