--- a/packages/core/src/lifecycle/request_table.h
+++ b/packages/core/src/lifecycle/request_table.h
@@ -66,7 +66,7 @@
   /// Queries of peers that recalled the request, answered once its tasks are
   /// stopped.
   std::vector<std::uint64_t> recalls;
-  /// Upstream's last answer, if it was a failure.
+  /// Merged answer of the last attempt in which a task reported failure.
   std::optional<Answer> last_failure;
 };
 
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -54,7 +54,7 @@
   const std::optional<OwnedWorker> owned =
       this->parts->ownership.OwnedForStart(now, plan.worker);
   // Between the placement and this call the lease may have been lost or the
-  // host may have started to leave, for example while a *started* record was
+  // worker may have started to leave, for example while a *started* record was
   // being written. Then there is no lease, or a newer one under which the
   // task's resources were not allocated. Such a task is placed again.
   if (!owned || owned->epoch != plan.epoch) {
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -93,7 +93,7 @@
                                    Lease* lease) {
   // Failure: the reports of a busy worker list running tasks but no ended ones,
   // because those answers arrived with their starts. The interval would grow as
-  // for long tasks, and the end of a short detached task would be learnt
+  // for long tasks, and the end of a short detached task would be learned
   // seconds late.
   const bool started = lease->start_sent >= lease->granted;
   lease->granted = sent;
--- a/packages/core/src/ownership_plan.cc
+++ b/packages/core/src/ownership_plan.cc
@@ -18,8 +18,8 @@
 /// A call without a result is considered lost after this time, so that a
 /// missing report cannot block a worker permanently.
 constexpr Duration kMaxCallTime = std::chrono::seconds(5);
-/// Starts in transit when a worker began to leave appear in its reports after
-/// this time.
+/// Starts that were in transit when a worker began to leave appear in its
+/// reports within this time.
 constexpr Duration kDrainGrace = std::chrono::seconds(2);
 /// Delay between the attach attempts of two members for the same worker without
 /// an owner.
@@ -190,7 +190,7 @@
 Duration Ownership::State::LongestRenewalInterval(Instant now,
                                                   const Lease& lease) const {
   if (this->MustStayInForce(now, lease)) return this->options.lease / 3;
-  // A task's lease must not expire, and its end is learnt from a report.
+  // A task's lease must not expire, and its end is learned from a report.
   const bool report_needed =
       lease.active || lease.description.leaving || !this->starts_reported;
   if (report_needed) return this->options.task_lease / 3;
--- a/packages/core/src/scheduler/running_tasks.h
+++ b/packages/core/src/scheduler/running_tasks.h
@@ -48,7 +48,7 @@
   [[nodiscard]] double ReleasePerSecond() const;
   /// Like `ReleasePerSecond`, without urgent tasks (priority 0).
   [[nodiscard]] double NonUrgentReleasePerSecond() const;
-  /// Sum over tasks that may be preempted or are being preempted.
+  /// Total resources of the tasks that may be preempted or are being preempted.
   [[nodiscard]] const Resources& Preemptible() const;
   /// @return expected ends of the tasks, sorted by time
   /// @complexity n log n in the number of running tasks
--- a/packages/jobs/src/intake.cc
+++ b/packages/jobs/src/intake.cc
@@ -16,8 +16,8 @@
 /// must not block all others.
 constexpr std::size_t kMaxInFlight = 4;
 /// A write that is unanswered for this long is also given to another process.
-/// Exceeds the answers of a store that is slow for all processes (0.4
-/// s), where another process would not help.
+/// Exceeds the answer time of a store that is slow for all processes (0.4 s),
+/// where another process would not help.
 constexpr Duration kHedgeDelay = milliseconds(450);
 /// From this answer time on, a job is placed while it is being stored. The
 /// usual 4 ms are a tenth of the interval between two progress writes.
--- a/packages/jobs/src/options.h
+++ b/packages/jobs/src/options.h
@@ -16,8 +16,8 @@
 inline constexpr Duration kStoreLeaseRenewal = milliseconds(300);
 /// If the store has confirmed no renewal that was sent within this time, it
 /// counts as silent, and no write whose outcome would stay uncertain is sent to
-/// it. Exceeds the sum of the renewal interval and the slowest answer
-/// of a working store (0.4 s).
+/// it. Exceeds the sum of the renewal interval and the slowest answer of a
+/// working store (0.4 s).
 inline constexpr Duration kStoreSilenceTimeout = milliseconds(900);
 
 /// Lease that each order grants to everything that runs on a worker. Long
@@ -39,8 +39,8 @@
 inline constexpr Duration kLeaseExpiryMargin = milliseconds(250);
 
 /// How long an owner without answers from the store keeps renewing the leases
-/// of running tasks: the longest tolerated store outage (9.5 s) and the time to
-/// detect its end.
+/// of running tasks: the longest tolerated store outage (9.5 s) plus the time
+/// until the outage is detected.
 inline constexpr Duration kOwnerOutageTolerance = milliseconds(11'000);
 
 /// How long a hold waits at the worker for a task to end. If the answer to a
@@ -80,8 +80,8 @@
 inline constexpr Duration kMinProgressInterval = milliseconds(10);
 inline constexpr Duration kMaxProgressInterval = milliseconds(40);
 /// Interval between reads of the workers' entries, which change with every
-/// heartbeat. A worker that starts to drain must receive no new tasks after 2
-/// s.
+/// heartbeat. A worker that starts to drain must receive no new tasks
+/// after 2 s.
 inline constexpr Duration kWorkerWatchInterval = milliseconds(450);
 /// Minimum time between two passes over the queue.
 inline constexpr Duration kPassInterval = milliseconds(5);
