--- a/packages/core/src/deferred_store.cc
+++ b/packages/core/src/deferred_store.cc
@@ -12,10 +12,10 @@
 
 struct StoredEntry {
   DeferredEntry entry;
-  /// Place in the order of acceptance; 0 while no accepted record was seen.
-  /// A snapshot is written behind records that were pending when it was taken,
+  /// Position in the order of acceptance; 0 while no accepted record was seen.
+  /// A snapshot is written after records that were pending when it was taken,
   /// so the end of a request may be read before its acceptance. Keeping that
-  /// end is what stops finished work from coming back as queued.
+  /// end prevents finished work from returning as queued.
   std::uint64_t order = 0;
 };
 
@@ -24,15 +24,15 @@
   Instant ended;
 };
 
-bool Live(const StoredEntry& stored) {
+bool IsUnfinished(const StoredEntry& stored) {
   return stored.order != 0 && !stored.entry.ended;
 }
 
 }  // namespace
 
 struct DeferredStore::State {
-  StoredEntry& Obtain(const RequestId& request, const JournalId& journal);
-  void End(Instant now, StoredEntry* stored, DeferredState end, bool ran);
+  StoredEntry& FindOrCreate(const RequestId& request, const JournalId& journal);
+  void MarkEnded(Instant now, StoredEntry* stored, DeferredState end, bool ran);
 
   void Apply(Instant now, const JournalId& journal,
              const AcceptedRecord& record);
@@ -49,14 +49,14 @@
 
   std::unordered_map<RequestId, StoredEntry> entries;
   std::unordered_map<JournalId, std::size_t> unfinished;
-  /// In order of their end, since time only grows.
+  /// In order of their end, because time never decreases.
   std::deque<EndedRequest> ended;
   std::uint64_t last_order = 0;
   std::size_t bytes = 0;
 };
 
-StoredEntry& DeferredStore::State::Obtain(const RequestId& request,
-                                          const JournalId& journal) {
+StoredEntry& DeferredStore::State::FindOrCreate(const RequestId& request,
+                                                const JournalId& journal) {
   const auto [place, added] = this->entries.try_emplace(request);
   if (added) {
     place->second.entry.request.id = request;
@@ -65,10 +65,10 @@
   return place->second;
 }
 
-void DeferredStore::State::End(Instant now, StoredEntry* stored,
-                               DeferredState end, bool ran) {
+void DeferredStore::State::MarkEnded(Instant now, StoredEntry* stored,
+                                     DeferredState end, bool ran) {
   DeferredEntry& entry = stored->entry;
-  if (Live(*stored)) {
+  if (IsUnfinished(*stored)) {
     --this->unfinished[entry.journal];
   }
   entry.state = end;
@@ -81,7 +81,7 @@
 
 void DeferredStore::State::Apply(Instant /*now*/, const JournalId& journal,
                                  const AcceptedRecord& record) {
-  StoredEntry& stored = this->Obtain(record.request.id, journal);
+  StoredEntry& stored = this->FindOrCreate(record.request.id, journal);
   if (stored.order != 0) {
     return;
   }
@@ -97,7 +97,7 @@
 
 void DeferredStore::State::Apply(Instant /*now*/, const JournalId& journal,
                                  const StartedRecord& record) {
-  DeferredEntry& entry = this->Obtain(record.request, journal).entry;
+  DeferredEntry& entry = this->FindOrCreate(record.request, journal).entry;
   if (entry.ended || record.attempt < entry.attempt) {
     return;
   }
@@ -116,21 +116,21 @@
 
 void DeferredStore::State::Apply(Instant now, const JournalId& journal,
                                  const FinishedRecord& record) {
-  StoredEntry& stored = this->Obtain(record.request, journal);
+  StoredEntry& stored = this->FindOrCreate(record.request, journal);
   if (stored.entry.ended) {
     return;
   }
   stored.entry.result = record.answer;
   this->bytes += View(record.answer.body).size();
-  this->End(now, &stored, record.state,
-            record.answer.outcome != Outcome::kNotRun);
+  this->MarkEnded(now, &stored, record.state,
+                  record.answer.outcome != Outcome::kNotRun);
 }
 
 void DeferredStore::State::Apply(Instant now, const JournalId& journal,
                                  const CancelledRecord& record) {
-  StoredEntry& stored = this->Obtain(record.request, journal);
+  StoredEntry& stored = this->FindOrCreate(record.request, journal);
   if (!stored.entry.ended) {
-    this->End(now, &stored, DeferredState::kCancelled, record.ran);
+    this->MarkEnded(now, &stored, DeferredState::kCancelled, record.ran);
   }
 }
 
@@ -221,7 +221,7 @@
 
 std::size_t DeferredStore::Bytes() const { return this->state->bytes; }
 
-std::size_t DeferredStore::UnfinishedIn(const JournalId& journal) const {
+std::size_t DeferredStore::UnfinishedCount(const JournalId& journal) const {
   const auto found = this->state->unfinished.find(journal);
   return found == this->state->unfinished.end() ? 0 : found->second;
 }
--- a/packages/core/src/ledger/free_capacity_index.h
+++ b/packages/core/src/ledger/free_capacity_index.h
@@ -5,90 +5,92 @@
 #include <cstdint>
 #include <vector>
 
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 #include "ledger/worker_entry.h"
 
 namespace mustardproxy::detail {
 
-/// A worker's place in the order of an index. Keys may repeat; the worker
-/// tells equal ones apart.
+/// Sort key of a worker in an index. Several workers may have the same key; the
+/// worker index breaks ties.
 struct IndexKey {
   std::uint32_t key = 0;
   WorkerIndex worker = 0;
 
-  /// @return one number in the order of keys, then workers
-  [[nodiscard]] std::uint64_t Order() const {
+  /// @return a single integer that sorts by key, then by worker
+  [[nodiscard]] std::uint64_t SortKey() const {
     return (std::uint64_t{this->key} << 32) | this->worker;
   }
 };
 
-/// Workers in the order of a key, searchable by free resources.
+/// Workers sorted by a key and searchable by free resources.
 ///
-/// Sorted blocks of at most `kBlockSize` workers, each with the part-by-part
-/// maximum of what is free in it. A search skips every block whose maximum is
-/// too small, so it costs about the square root of the number of workers: a
-/// scan over blocks, then one within a block. Flat arrays beat a balanced tree
-/// at the sizes of a data centre.
+/// Consists of sorted blocks of at most `kBlockSize` workers; each block stores
+/// the component-wise maximum of its workers' free resources. A search skips
+/// every block whose maximum is too small, so its cost is about the square root
+/// of the number of workers: a scan over the blocks, then one within a block.
+/// Flat arrays are faster than a balanced tree for the number of workers in a
+/// data centre.
 class FreeCapacityIndex {
  public:
   struct Item {
     IndexKey key;
-    PackedRoom room;
+    PackedResources free;
   };
 
-  void Insert(const IndexKey& key, const PackedRoom& room);
+  void Insert(const IndexKey& key, const PackedResources& free);
   void Erase(const IndexKey& key);
-  /// Gives a worker that is in the index another key and room.
-  void Move(const IndexKey& from, const IndexKey& to, const PackedRoom& room);
+  /// Changes the key and the free resources of a worker that is in the index.
+  void Move(const IndexKey& from, const IndexKey& to,
+            const PackedResources& free);
   void Clear();
 
-  /// Calls `visit(item)` in ascending order of keys for each worker with room
-  /// for `need`, from key `from` on, until it returns false.
+  /// Calls `visit(item)` in ascending order of keys for each worker on which
+  /// `need` fits, starting at key `from`, until it returns false.
   template <typename Visitor>
-  void VisitAscending(const PackedRoom& need, std::uint32_t from,
+  void VisitAscending(const PackedResources& need, std::uint32_t from,
                       Visitor visit) const;
-  /// The same from the highest key down.
+  /// Like `VisitAscending`, but in descending order from the highest key.
   template <typename Visitor>
-  void VisitDescending(const PackedRoom& need, Visitor visit) const;
+  void VisitDescending(const PackedResources& need, Visitor visit) const;
 
  private:
   struct Block {
     std::vector<Item> items;
-    PackedRoom largest;
+    PackedResources largest;
   };
   static constexpr std::size_t kBlockSize = 32;
 
   [[nodiscard]] std::size_t BlockOf(const IndexKey& key) const;
   void Split(std::size_t position);
   void EraseAt(std::size_t position, std::vector<Item>::iterator item);
-  static void Measure(Block* block);
+  static void UpdateLargest(Block* block);
 
-  /// Never empty blocks; keys ascend within and across blocks.
+  /// Blocks are never empty; keys ascend within and across blocks.
   std::vector<Block> blocks;
 };
 
 template <typename Visitor>
-void FreeCapacityIndex::VisitAscending(const PackedRoom& need,
+void FreeCapacityIndex::VisitAscending(const PackedResources& need,
                                        std::uint32_t from,
                                        Visitor visit) const {
   if (this->blocks.empty()) return;
   for (std::size_t b = this->BlockOf({from, 0}); b < this->blocks.size(); ++b) {
     if (!need.FitsIn(this->blocks[b].largest)) continue;
     for (const Item& item : this->blocks[b].items) {
-      if (need.FitsIn(item.room) && !visit(item)) return;
+      if (need.FitsIn(item.free) && !visit(item)) return;
     }
   }
 }
 
 template <typename Visitor>
-void FreeCapacityIndex::VisitDescending(const PackedRoom& need,
+void FreeCapacityIndex::VisitDescending(const PackedResources& need,
                                         Visitor visit) const {
   for (auto block = this->blocks.rbegin(); block != this->blocks.rend();
        ++block) {
     if (!need.FitsIn(block->largest)) continue;
     for (auto item = block->items.rbegin(); item != block->items.rend();
          ++item) {
-      if (need.FitsIn(item->room) && !visit(*item)) return;
+      if (need.FitsIn(item->free) && !visit(*item)) return;
     }
   }
 }
--- a/packages/core/src/ledger/gang_plan.cc
+++ b/packages/core/src/ledger/gang_plan.cc
@@ -10,10 +10,10 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Free resources of the workers as they will be, release after release.
-class FutureRoom {
+/// Free resources of the workers at a future time, updated release by release.
+class FutureCapacity {
  public:
-  FutureRoom(const WorkerTable& table, const GangNeed& need);
+  FutureCapacity(const WorkerTable& table, const GangDemand& need);
 
   void Release(const ExpectedRelease& release);
   [[nodiscard]] std::int64_t Total() const { return this->total; }
@@ -21,62 +21,64 @@
 
  private:
   const WorkerTable& table;
-  const GangNeed& need;
+  const GangDemand& need;
   std::vector<GangCandidate> candidates;
-  /// Free of the candidate at the same position.
+  /// Free resources of the candidate at the same index.
   std::vector<Resources> free;
   std::unordered_map<WorkerIndex, std::size_t> positions;
   std::int64_t total = 0;
 };
 
-FutureRoom::FutureRoom(const WorkerTable& table, const GangNeed& need)
+FutureCapacity::FutureCapacity(const WorkerTable& table, const GangDemand& need)
     : table(table), need(need) {
   for (RackIndex rack = 0; rack < table.Racks().size(); ++rack) {
     for (const WorkerIndex worker : table.Racks()[rack].workers) {
       const WorkerEntry& entry = table.At(worker);
-      if (!entry.placeable || !Allowed(table, worker, need.avoid)) continue;
-      const std::int64_t room =
+      if (!entry.placeable || !IsAllowed(table, worker, need.avoid)) continue;
+      const std::int64_t fitting_tasks =
           CountFitting(need.resources, table.Free(worker));
       this->positions.emplace(worker, this->candidates.size());
-      this->candidates.push_back({worker, rack, room});
+      this->candidates.push_back({worker, rack, fitting_tasks});
       this->free.push_back(table.Free(worker));
-      this->total += room;
+      this->total += fitting_tasks;
     }
   }
 }
 
-void FutureRoom::Release(const ExpectedRelease& release) {
+void FutureCapacity::Release(const ExpectedRelease& release) {
   const auto worker = this->table.Find(release.worker);
   if (!worker) return;
   const auto position = this->positions.find(*worker);
   if (position == this->positions.end()) return;
   GangCandidate& candidate = this->candidates[position->second];
-  Resources& room = this->free[position->second];
-  room = MinParts(room + release.resources, this->table.At(*worker).capacity);
-  this->total -= candidate.room;
-  candidate.room = CountFitting(this->need.resources, room);
-  this->total += candidate.room;
+  Resources& available = this->free[position->second];
+  available = ComponentMin(available + release.resources,
+                           this->table.At(*worker).capacity);
+  this->total -= candidate.fitting_tasks;
+  candidate.fitting_tasks = CountFitting(this->need.resources, available);
+  this->total += candidate.fitting_tasks;
 }
 
-std::span<const GangCandidate> FutureRoom::Candidates() const {
+std::span<const GangCandidate> FutureCapacity::Candidates() const {
   return this->candidates;
 }
 
 }  // namespace
 
-std::optional<GangPlan> PlanGang(const WorkerTable& table, const GangNeed& need,
+std::optional<GangPlan> PlanGang(const WorkerTable& table,
+                                 const GangDemand& need,
                                  std::span<const ExpectedRelease> releases) {
-  FutureRoom room(table, need);
+  FutureCapacity future(table, need);
   GangPlan plan;
   plan.at = need.now;
   for (const ExpectedRelease& release : releases) {
-    if (room.Total() >= need.tasks) break;
-    room.Release(release);
+    if (future.Total() >= need.tasks) break;
+    future.Release(release);
     plan.at = std::max(plan.at, release.at);
   }
-  if (room.Total() < need.tasks) return std::nullopt;
+  if (future.Total() < need.tasks) return std::nullopt;
   for (const WorkerIndex worker :
-       PlaceGang(room.Candidates(), need.tasks, need.packing)) {
+       PlaceGang(future.Candidates(), need.tasks, need.packing)) {
     plan.workers.push_back(table.At(worker).id);
   }
   return plan;
--- a/packages/core/src/ledger/gang_search.cc
+++ b/packages/core/src/ledger/gang_search.cc
@@ -7,17 +7,18 @@
 namespace {
 
 /// Candidates of one rack.
-struct RackRoom {
+struct RackCandidates {
   std::span<const GangCandidate> candidates;
-  std::int64_t room = 0;
+  std::int64_t fitting_tasks = 0;
 };
 
-std::vector<RackRoom> GroupByRack(std::span<const GangCandidate> candidates) {
-  std::vector<RackRoom> racks;
+std::vector<RackCandidates> GroupByRack(
+    std::span<const GangCandidate> candidates) {
+  std::vector<RackCandidates> racks;
   std::size_t begin = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     if (i == begin) racks.push_back({});
-    racks.back().room += candidates[i].room;
+    racks.back().fitting_tasks += candidates[i].fitting_tasks;
     const bool last = i + 1 == candidates.size() ||
                       candidates[i + 1].rack != candidates[i].rack;
     if (!last) continue;
@@ -27,61 +28,63 @@
   return racks;
 }
 
-/// @return the rack to use alone, or null if none can hold the whole gang
-const RackRoom* ChooseRack(std::span<const RackRoom> racks, std::int64_t tasks,
-                           Packing packing) {
-  const RackRoom* chosen = nullptr;
-  for (const RackRoom& rack : racks) {
-    if (rack.room < tasks) continue;
+/// @return the rack that runs the whole gang, or null if none can
+const RackCandidates* ChooseRack(std::span<const RackCandidates> racks,
+                                 std::int64_t tasks, Packing packing) {
+  const RackCandidates* chosen = nullptr;
+  for (const RackCandidates& rack : racks) {
+    if (rack.fitting_tasks < tasks) continue;
     if (packing == Packing::kFirstFit) return &rack;
-    const bool better = chosen == nullptr || (packing == Packing::kSpread
-                                                  ? rack.room > chosen->room
-                                                  : rack.room < chosen->room);
+    const bool better =
+        chosen == nullptr || (packing == Packing::kSpread
+                                  ? rack.fitting_tasks > chosen->fitting_tasks
+                                  : rack.fitting_tasks < chosen->fitting_tasks);
     if (better) chosen = &rack;
   }
   return chosen;
 }
 
-/// Fills one worker after the other, those with least room first unless the
-/// order is fixed; keeps large gaps whole.
-void FillTightly(std::vector<GangCandidate> candidates, std::int64_t tasks,
-                 Packing packing, std::vector<std::uint32_t>* gang) {
+/// Fills one worker after the other. With best fit, workers with the least free
+/// capacity come first, which leaves large gaps unfragmented.
+void FillPacked(std::vector<GangCandidate> candidates, std::int64_t tasks,
+                Packing packing, std::vector<std::uint32_t>* gang) {
   if (packing == Packing::kBestFit) {
-    std::ranges::stable_sort(candidates, {}, &GangCandidate::room);
+    std::ranges::stable_sort(candidates, {}, &GangCandidate::fitting_tasks);
   }
   for (const GangCandidate& candidate : candidates) {
     const std::int64_t count =
-        std::min(candidate.room, tasks - std::ssize(*gang));
+        std::min(candidate.fitting_tasks, tasks - std::ssize(*gang));
     gang->insert(gang->end(), static_cast<std::size_t>(count),
                  candidate.worker);
   }
 }
 
-/// Gives each worker one task in turn, those with most room first.
-void FillEvenly(std::vector<GangCandidate> candidates, std::int64_t tasks,
-                std::vector<std::uint32_t>* gang) {
+/// Assigns one task to each worker in turn, starting with the worker that can
+/// run the most.
+void FillRoundRobin(std::vector<GangCandidate> candidates, std::int64_t tasks,
+                    std::vector<std::uint32_t>* gang) {
   std::ranges::stable_sort(candidates, std::ranges::greater{},
-                           &GangCandidate::room);
+                           &GangCandidate::fitting_tasks);
   bool progress = true;
   while (progress && std::ssize(*gang) < tasks) {
     progress = false;
     for (GangCandidate& candidate : candidates) {
-      if (candidate.room == 0 || std::ssize(*gang) == tasks) continue;
+      if (candidate.fitting_tasks == 0 || std::ssize(*gang) == tasks) continue;
       gang->push_back(candidate.worker);
-      --candidate.room;
+      --candidate.fitting_tasks;
       progress = true;
     }
   }
 }
 
-void Fill(const RackRoom& rack, std::int64_t tasks, Packing packing,
+void Fill(const RackCandidates& rack, std::int64_t tasks, Packing packing,
           std::vector<std::uint32_t>* gang) {
   const std::vector<GangCandidate> candidates(rack.candidates.begin(),
                                               rack.candidates.end());
   if (packing == Packing::kSpread) {
-    FillEvenly(candidates, tasks, gang);
+    FillRoundRobin(candidates, tasks, gang);
   } else {
-    FillTightly(candidates, tasks, packing, gang);
+    FillPacked(candidates, tasks, packing, gang);
   }
 }
 
@@ -89,18 +92,19 @@
 
 std::vector<std::uint32_t> PlaceGang(std::span<const GangCandidate> candidates,
                                      std::int64_t tasks, Packing packing) {
-  std::vector<RackRoom> racks = GroupByRack(candidates);
+  std::vector<RackCandidates> racks = GroupByRack(candidates);
   std::vector<std::uint32_t> gang;
-  if (const RackRoom* rack = ChooseRack(racks, tasks, packing)) {
+  if (const RackCandidates* rack = ChooseRack(racks, tasks, packing)) {
     Fill(*rack, tasks, packing, &gang);
     return gang;
   }
-  const std::int64_t room = std::transform_reduce(
+  const std::int64_t fitting_tasks = std::transform_reduce(
       racks.begin(), racks.end(), std::int64_t{0}, std::plus<>(),
-      [](const RackRoom& rack) { return rack.room; });
-  if (room < tasks) return {};
-  std::ranges::stable_sort(racks, std::ranges::greater{}, &RackRoom::room);
-  for (const RackRoom& rack : racks) Fill(rack, tasks, packing, &gang);
+      [](const RackCandidates& rack) { return rack.fitting_tasks; });
+  if (fitting_tasks < tasks) return {};
+  std::ranges::stable_sort(racks, std::ranges::greater{},
+                           &RackCandidates::fitting_tasks);
+  for (const RackCandidates& rack : racks) Fill(rack, tasks, packing, &gang);
   return gang;
 }
 
--- a/packages/core/src/ledger/ledger.cc
+++ b/packages/core/src/ledger/ledger.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "ledger/gang_plan.h"
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 #include "ledger/packing_policy.h"
 #include "ledger/worker_table.h"
 #include "mustardproxy/core/gang_search.h"
@@ -17,27 +17,28 @@
 
 namespace {
 
-/// Protects the sums from what a broken worker reports.
-constexpr Resources kMostCounted{detail::kLargestPart, detail::kLargestPart,
-                                 detail::kLargestPart, detail::kLargestPart};
+/// Upper limit of a reported capacity; prevents overflow of the sums if a
+/// worker reports absurd values.
+constexpr Resources kMaxCapacity{detail::kMaxComponent, detail::kMaxComponent,
+                                 detail::kMaxComponent, detail::kMaxComponent};
 
 }  // namespace
 
 struct Ledger::State {
   detail::WorkerTable table;
 
-  [[nodiscard]] Resources Room(WorkerIndex worker, Holds holds) const;
-  [[nodiscard]] std::vector<WorkerId> Names(
+  [[nodiscard]] Resources Available(WorkerIndex worker, HoldPolicy holds) const;
+  [[nodiscard]] std::vector<WorkerId> WorkerIds(
       std::span<const WorkerIndex> workers) const;
 };
 
-Resources Ledger::State::Room(WorkerIndex worker, Holds holds) const {
+Resources Ledger::State::Available(WorkerIndex worker, HoldPolicy holds) const {
   const Resources& free = this->table.Free(worker);
-  if (holds == Holds::kIgnore) return free;
+  if (holds == HoldPolicy::kIgnore) return free;
   return ClampToZero(free - this->table.At(worker).held);
 }
 
-std::vector<WorkerId> Ledger::State::Names(
+std::vector<WorkerId> Ledger::State::WorkerIds(
     std::span<const WorkerIndex> workers) const {
   std::vector<WorkerId> names;
   names.reserve(workers.size());
@@ -52,21 +53,22 @@
 Ledger::Ledger(Ledger&&) noexcept = default;
 Ledger& Ledger::operator=(Ledger&&) noexcept = default;
 
-void Ledger::Open(const WorkerDescription& worker, const WorkerReport& report) {
-  this->Close(worker.id);
+void Ledger::AddWorker(const WorkerDescription& worker,
+                       const WorkerReport& report) {
+  this->RemoveWorker(worker.id);
   WorkerEntry entry;
   entry.id = worker.id;
   entry.rack = worker.rack;
-  entry.capacity = MinParts(ClampToZero(report.capacity), kMostCounted);
-  entry.open = true;
+  entry.capacity = ComponentMin(ClampToZero(report.capacity), kMaxCapacity);
+  entry.registered = true;
   entry.placeable = !worker.leaving;
   for (const RunningTask& task : report.running) {
-    entry.Take(task.task, task.resources);
+    entry.AddTask(task.task, task.resources);
   }
   this->state->table.Add(std::move(entry));
 }
 
-void Ledger::Close(const WorkerId& worker) {
+void Ledger::RemoveWorker(const WorkerId& worker) {
   const auto found = this->state->table.Find(worker);
   if (found) this->state->table.Remove(*found);
 }
@@ -75,7 +77,7 @@
                           double share) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
-  WorkerEntry& entry = this->state->table.Edit(*found);
+  WorkerEntry& entry = this->state->table.MutableAt(*found);
   entry.placeable = placeable;
   entry.share = share;
   this->state->table.Refresh(*found);
@@ -85,18 +87,18 @@
                      const Resources& resources) {
   const auto found = this->state->table.Find(worker);
   if (!found) return false;
-  WorkerEntry& entry = this->state->table.Edit(*found);
+  WorkerEntry& entry = this->state->table.MutableAt(*found);
   if (!entry.placeable) return false;
   if (!resources.FitsIn(this->state->table.Free(*found))) return false;
-  if (!entry.Take(task, resources)) return false;
+  if (!entry.AddTask(task, resources)) return false;
   this->state->table.Refresh(*found);
   return true;
 }
 
-void Ledger::Free(const WorkerId& worker, const TaskId& task) {
+void Ledger::Release(const WorkerId& worker, const TaskId& task) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
-  this->state->table.Edit(*found).GiveBack(task);
+  this->state->table.MutableAt(*found).RemoveTask(task);
   this->state->table.Refresh(*found);
 }
 
@@ -104,24 +106,25 @@
                        std::span<const RunningTask> running) {
   const auto found = this->state->table.Find(worker);
   if (!found) return;
-  WorkerEntry& entry = this->state->table.Edit(*found);
-  for (const RunningTask& task : running) entry.Take(task.task, task.resources);
+  WorkerEntry& entry = this->state->table.MutableAt(*found);
+  for (const RunningTask& task : running)
+    entry.AddTask(task.task, task.resources);
   this->state->table.Refresh(*found);
 }
 
 std::optional<WorkerId> Ledger::Find(const Resources& resources,
                                      Packing packing,
                                      std::span<const WorkerId> avoid,
-                                     Holds holds) const {
+                                     HoldPolicy holds) const {
   const detail::WorkerTable& table = this->state->table;
   const auto found =
       detail::PolicyFor(packing).Choose(table, {resources, avoid});
   if (found) return table.At(*found).id;
-  if (holds == Holds::kRespect) return std::nullopt;
+  if (holds == HoldPolicy::kRespect) return std::nullopt;
   for (const WorkerIndex worker : table.HeldWorkers()) {
     const WorkerEntry& entry = table.At(worker);
     if (!entry.placeable || !resources.FitsIn(table.Free(worker))) continue;
-    if (detail::Allowed(table, worker, avoid)) return entry.id;
+    if (detail::IsAllowed(table, worker, avoid)) return entry.id;
   }
   return std::nullopt;
 }
@@ -129,20 +132,22 @@
 std::vector<WorkerId> Ledger::FindGang(const Resources& resources,
                                        std::int32_t tasks, Packing packing,
                                        std::span<const WorkerId> avoid,
-                                       Holds holds) const {
+                                       HoldPolicy holds) const {
   const detail::WorkerTable& table = this->state->table;
   if (CountFitting(resources, table.TotalFree()) < tasks) return {};
   std::vector<GangCandidate> candidates;
   for (detail::RackIndex rack = 0; rack < table.Racks().size(); ++rack) {
     for (const WorkerIndex worker : table.Racks()[rack].workers) {
       const WorkerEntry& entry = table.At(worker);
-      if (!entry.placeable || !detail::Allowed(table, worker, avoid)) continue;
-      const std::int64_t room =
-          CountFitting(resources, this->state->Room(worker, holds));
-      if (room > 0) candidates.push_back({worker, rack, room});
+      if (!entry.placeable || !detail::IsAllowed(table, worker, avoid))
+        continue;
+      const std::int64_t fitting_tasks =
+          CountFitting(resources, this->state->Available(worker, holds));
+      if (fitting_tasks > 0)
+        candidates.push_back({worker, rack, fitting_tasks});
     }
   }
-  return this->state->Names(PlaceGang(candidates, tasks, packing));
+  return this->state->WorkerIds(PlaceGang(candidates, tasks, packing));
 }
 
 std::optional<GangPlan> Ledger::PlanGang(
@@ -160,29 +165,29 @@
 
 void Ledger::ClearHolds() { this->state->table.ClearHolds(); }
 
-Resources Ledger::HeldOn(const WorkerId& worker) const {
+Resources Ledger::HeldResources(const WorkerId& worker) const {
   const auto found = this->state->table.Find(worker);
   return found ? this->state->table.At(*found).held : Resources{};
 }
 
-void Ledger::TrackRoom(const Resources& task) {
-  this->state->table.TrackRoom(task);
+void Ledger::TrackFitCount(const Resources& task) {
+  this->state->table.TrackFitCount(task);
 }
 
-std::int64_t Ledger::TrackedRoom() const {
-  return this->state->table.TrackedRoom();
+std::int64_t Ledger::TrackedFitCount() const {
+  return this->state->table.TrackedFitCount();
 }
 
-std::int64_t Ledger::TrackedRoomWithout(const WorkerId& worker,
-                                        const Resources& resources) const {
+std::int64_t Ledger::TrackedFitCountWithout(const WorkerId& worker,
+                                            const Resources& resources) const {
   const detail::WorkerTable& table = this->state->table;
   const auto found = table.Find(worker);
-  if (!found) return table.TrackedRoom();
+  if (!found) return table.TrackedFitCount();
   const Resources& free = table.Free(*found);
   const Resources& task = table.TrackedTask();
   const std::int64_t before = CountFitting(task, free);
   const std::int64_t after = CountFitting(task, free - resources);
-  return table.TrackedRoom() - before + after;
+  return table.TrackedFitCount() - before + after;
 }
 
 bool Ledger::CouldEverFit(const Resources& resources) const {
@@ -192,12 +197,12 @@
                              });
 }
 
-std::int64_t Ledger::EmptyRoomFor(const Resources& resources) const {
-  std::int64_t room = 0;
+std::int64_t Ledger::CountFittingWhenIdle(const Resources& resources) const {
+  std::int64_t fitting_tasks = 0;
   for (const detail::CapacityClass& kind : this->state->table.Classes()) {
-    room += kind.workers * CountFitting(resources, kind.capacity);
+    fitting_tasks += kind.workers * CountFitting(resources, kind.capacity);
   }
-  return room;
+  return fitting_tasks;
 }
 
 Resources Ledger::LargestCapacity() const {
@@ -212,9 +217,9 @@
 
 Resources Ledger::LargestFree() const {
   const detail::WorkerTable& table = this->state->table;
-  Resources largest = table.Rooms().Largest().Unpack();
+  Resources largest = table.FreeTable().Largest().Unpack();
   for (const WorkerIndex worker : table.HeldWorkers()) {
-    largest = MaxParts(largest, table.Free(worker));
+    largest = ComponentMax(largest, table.Free(worker));
   }
   return largest;
 }
--- a/packages/core/src/ledger/packing_policy.cc
+++ b/packages/core/src/ledger/packing_policy.cc
@@ -4,33 +4,36 @@
 #include <cmath>
 #include <limits>
 
-#include "ledger/packed_room.h"
+#include "ledger/packed_resources.h"
 
 namespace mustardproxy::detail {
 namespace {
 
 using Item = FreeCapacityIndex::Item;
 
-/// Fitting workers that best fit compares, from the least free one up.
+/// Number of fitting workers that best fit compares, starting with the least
+/// free capacity.
 constexpr int kBestFitCandidates = 8;
 
-/// Weight of leftover slots in a misfit: a slot is of use to every task.
+/// Weight of unused slots in the cost; lower than 1 since every task can use a
+/// slot.
 constexpr double kSlotWeight = 0.5;
-/// Weight of processors and memory left over out of proportion. With a low
-/// weight best fit strands as much as first fit; with a much higher one it
-/// opens more workers than first fit.
+/// Weight of the imbalance between unused processors and unused memory. A low
+/// weight strands as many resources as first fit; a much higher one occupies
+/// more workers than first fit.
 constexpr double kImbalanceWeight = 3.0;
 
-/// @return how badly what would be left over on a worker can still be used:
-///   its size, and how far processors and memory are out of proportion, since
-///   one without the other is of no use to a later task
-double Misfit(const PackedRoom& room, const PackedRoom& need,
-              const CapacityScale& scale) {
-  const double cpu = (room.parts[0] - need.parts[0]) * scale.cpu;
-  const double memory = (room.parts[1] - need.parts[1]) * scale.memory;
+/// @return cost of the resources left unused on a worker: their size plus a
+///   penalty for the imbalance between processors and memory, since later tasks
+///   cannot use one without the other
+double LeftoverCost(const PackedResources& free, const PackedResources& need,
+                    const CapacityScale& scale) {
+  const double cpu = (free.components[0] - need.components[0]) * scale.cpu;
+  const double memory =
+      (free.components[1] - need.components[1]) * scale.memory;
   const double accelerators =
-      (room.parts[2] - need.parts[2]) * scale.accelerators;
-  const double slots = (room.parts[3] - need.parts[3]) * scale.slots;
+      (free.components[2] - need.components[2]) * scale.accelerators;
+  const double slots = (free.components[3] - need.components[3]) * scale.slots;
   const double size = cpu + memory + accelerators + kSlotWeight * slots;
   return size + kImbalanceWeight * std::abs(cpu - memory);
 }
@@ -38,21 +41,21 @@
 class BestFit final : public PackingPolicy {
  public:
   [[nodiscard]] std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const override;
+      const WorkerTable& table, const TaskDemand& need) const override;
 };
 
 std::optional<WorkerIndex> BestFit::Choose(const WorkerTable& table,
-                                           const PlacementNeed& need) const {
+                                           const TaskDemand& need) const {
   std::optional<WorkerIndex> best;
-  double best_misfit = std::numeric_limits<double>::infinity();
+  double lowest_cost = std::numeric_limits<double>::infinity();
   int seen = 0;
-  const PackedRoom packed = PackedRoom::Pack(need.resources);
+  const PackedResources packed = PackedResources::Pack(need.resources);
   const auto consider = [&](const Item& item) {
-    if (!Allowed(table, item.key.worker, need.avoid)) return true;
-    const double misfit = Misfit(item.room, packed, table.Scale());
-    if (misfit < best_misfit) {
+    if (!IsAllowed(table, item.key.worker, need.avoid)) return true;
+    const double cost = LeftoverCost(item.free, packed, table.Scale());
+    if (cost < lowest_cost) {
       best = item.key.worker;
-      best_misfit = misfit;
+      lowest_cost = cost;
     }
     return ++seen < kBestFitCandidates;
   };
@@ -64,37 +67,38 @@
 class FirstFit final : public PackingPolicy {
  public:
   [[nodiscard]] std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const override;
+      const WorkerTable& table, const TaskDemand& need) const override;
 };
 
 std::optional<WorkerIndex> FirstFit::Choose(const WorkerTable& table,
-                                            const PlacementNeed& need) const {
+                                            const TaskDemand& need) const {
   std::optional<WorkerIndex> first;
-  table.Rooms().Visit(PackedRoom::Pack(need.resources),
-                      [&](WorkerIndex worker, const PackedRoom&) {
-                        if (!Allowed(table, worker, need.avoid)) return true;
-                        first = worker;
-                        return false;
-                      });
+  table.FreeTable().Visit(PackedResources::Pack(need.resources),
+                          [&](WorkerIndex worker, const PackedResources&) {
+                            if (!IsAllowed(table, worker, need.avoid))
+                              return true;
+                            first = worker;
+                            return false;
+                          });
   return first;
 }
 
 class Spread final : public PackingPolicy {
  public:
   [[nodiscard]] std::optional<WorkerIndex> Choose(
-      const WorkerTable& table, const PlacementNeed& need) const override;
+      const WorkerTable& table, const TaskDemand& need) const override;
 };
 
 std::optional<WorkerIndex> Spread::Choose(const WorkerTable& table,
-                                          const PlacementNeed& need) const {
-  std::optional<WorkerIndex> emptiest;
+                                          const TaskDemand& need) const {
+  std::optional<WorkerIndex> most_free;
   table.BySize().VisitDescending(
-      PackedRoom::Pack(need.resources), [&](const Item& item) {
-        if (!Allowed(table, item.key.worker, need.avoid)) return true;
-        emptiest = item.key.worker;
+      PackedResources::Pack(need.resources), [&](const Item& item) {
+        if (!IsAllowed(table, item.key.worker, need.avoid)) return true;
+        most_free = item.key.worker;
         return false;
       });
-  return emptiest;
+  return most_free;
 }
 
 }  // namespace
@@ -114,8 +118,8 @@
   return best_fit;
 }
 
-bool Allowed(const WorkerTable& table, WorkerIndex worker,
-             std::span<const WorkerId> avoid) {
+bool IsAllowed(const WorkerTable& table, WorkerIndex worker,
+               std::span<const WorkerId> avoid) {
   if (avoid.empty()) return true;
   return std::ranges::find(avoid, table.At(worker).id) == avoid.end();
 }
--- a/packages/core/src/lifecycle/adoption.cc
+++ b/packages/core/src/lifecycle/adoption.cc
@@ -12,25 +12,26 @@
 namespace {
 
 constexpr Duration kListInterval = std::chrono::seconds(5);
-constexpr Duration kSoon = std::chrono::milliseconds(500);
-/// Pause after somebody else was faster.
-constexpr Duration kBackOff = std::chrono::seconds(10);
-
-/// How long a journal must be without a live holder before a process of some
-/// rank adopts it. The wait covers a heartbeat that is late; a wrong guess
-/// costs only a fence.
-struct Patience {
+constexpr Duration kReadDelay = std::chrono::milliseconds(500);
+/// Delay after another process fenced the journal first.
+constexpr Duration kFencedDelay = std::chrono::seconds(10);
+
+/// How long a journal must be without a live holder before a process adopts it,
+/// by the rank of that process. The delay covers a late heartbeat; an adoption
+/// that was not needed costs only a fence.
+struct AdoptionDelays {
   Duration preferred;
-  /// Not the preferred adopter, which may be cut off from the platform itself.
+  /// For processes other than the preferred adopter, which may have no
+  /// connection to the platform.
   Duration other;
-  /// Owns no worker, so that the work would be of no use to it.
+  /// For processes that own no worker and therefore can't run the work.
   Duration without_workers;
 };
-constexpr Patience kAfterLoss = {std::chrono::seconds(3),
-                                 std::chrono::seconds(12),
-                                 std::chrono::seconds(20)};
-constexpr Patience kAfterHandOver = {Duration{0}, std::chrono::seconds(2),
-                                     std::chrono::seconds(10)};
+constexpr AdoptionDelays kAfterLoss = {std::chrono::seconds(3),
+                                       std::chrono::seconds(12),
+                                       std::chrono::seconds(20)};
+constexpr AdoptionDelays kAfterHandOver = {Duration{0}, std::chrono::seconds(2),
+                                           std::chrono::seconds(10)};
 
 bool HandedOver(const std::vector<JournalBatch>& batches) {
   return !batches.empty() && !batches.back().records.empty() &&
@@ -40,8 +41,8 @@
 
 }  // namespace
 
-void Adoption::ListSoon() {
-  const Instant soon = this->parts->context.now + kSoon;
+void Adoption::ScheduleList() {
+  const Instant soon = this->parts->context.now + kReadDelay;
   this->next_list = std::min(this->next_list, soon);
 }
 
@@ -61,8 +62,9 @@
     return false;
   }
   const std::optional<NamedProcess> writer = WriterOf(journal);
-  // Only workers of the own data centre can be asked what they run, and a data
-  // centre that is cut off from this one may still be at work.
+  // Only workers of the own data centre can be queried for their tasks, and
+  // another data centre that is unreachable from here may still be running the
+  // work.
   if (!writer || !this->parts->IsLocal(writer->process)) {
     return false;
   }
@@ -72,17 +74,18 @@
 }
 
 Instant Adoption::DueAt(const JournalId& journal, const Orphan& orphan) const {
-  const Patience& patience = orphan.handed_over ? kAfterHandOver : kAfterLoss;
+  const AdoptionDelays& delays =
+      orphan.handed_over ? kAfterHandOver : kAfterLoss;
   if (this->parts->ledger.WorkerCount() == 0) {
-    return orphan.since + patience.without_workers;
+    return orphan.free_since + delays.without_workers;
   }
   const bool mine = this->parts->membership.PreferredAdopter(journal) ==
                     this->parts->context.Self();
-  const bool preferred = mine || this->PreferredIsIdle(journal);
-  return orphan.since + (preferred ? patience.preferred : patience.other);
+  const bool preferred = mine || this->PreferredHasNoWorkers(journal);
+  return orphan.free_since + (preferred ? delays.preferred : delays.other);
 }
 
-bool Adoption::PreferredIsIdle(const JournalId& journal) const {
+bool Adoption::PreferredHasNoWorkers(const JournalId& journal) const {
   const auto digest = this->parts->membership.LastDigest(
       this->parts->membership.PreferredAdopter(journal));
   return digest && digest->owned_workers == 0;
@@ -100,30 +103,30 @@
       continue;
     }
     this->orphans.emplace(journal, Orphan{now, now, false, false});
-    this->Consider(journal);
+    this->ReadIfDue(journal);
   }
 }
 
-void Adoption::Consider(const JournalId& journal) {
+void Adoption::ReadIfDue(const JournalId& journal) {
   const Instant now = this->parts->context.now;
   Orphan& orphan = this->orphans.at(journal);
-  if (now < orphan.again || this->waiting.contains(journal)) {
+  if (now < orphan.next_read || this->unfenced_batches.contains(journal)) {
     return;
   }
-  // The first look tells whether it was handed over.
+  // The first read shows whether the journal was handed over.
   const Instant due = orphan.read ? this->DueAt(journal, orphan) : now;
   if (now < due) {
     this->next_list = std::min(this->next_list, due);
     return;
   }
-  orphan.again = now + kSoon;
+  orphan.next_read = now + kReadDelay;
   this->parts->context.Emit(ReadJournal{journal});
 }
 
 void Adoption::On(const JournalRead& event) {
   const auto found = this->orphans.find(event.journal);
   if (found == this->orphans.end() || !this->IsFree(event.journal) ||
-      event.batches.empty() || this->waiting.contains(event.journal)) {
+      event.batches.empty() || this->unfenced_batches.contains(event.journal)) {
     return;
   }
   Orphan& orphan = found->second;
@@ -135,7 +138,7 @@
     return;
   }
   this->orphans.erase(found);
-  this->waiting[event.journal] = event.batches;
+  this->unfenced_batches[event.journal] = event.batches;
   this->parts->journals.Adopt(event.journal, event.batches.back().sequence + 1);
 }
 
@@ -144,19 +147,20 @@
   const CoreContext& context = this->parts->context;
   const bool ours = record.by == context.Self() &&
                     record.incarnation == context.options.incarnation;
-  const auto found = this->waiting.find(journal);
-  if (!ours || found == this->waiting.end()) {
+  const auto found = this->unfenced_batches.find(journal);
+  if (!ours || found == this->unfenced_batches.end()) {
     return;
   }
   const std::vector<DeferredEntry> entries =
       this->parts->store.Recover(context.now, journal, found->second);
-  this->waiting.erase(found);
+  this->unfenced_batches.erase(found);
   this->parts->context.Record(
       TextEvent(TimelineKind::kJournalAdopted, journal.Text()));
-  // Failure: this process lost its workers while the record was on its way, and
-  // has handed the journal on. Work taken up now could never be ended, and
-  // would show as running to everybody who asks. The next adopter reads it.
-  if (this->parts->journals.Closing(journal)) {
+  // Failure: this process lost its workers while the record was being written,
+  // and has already handed the journal over. Work resumed now could never be
+  // completed and would be reported as running. The next adopter reads it from
+  // the journal.
+  if (this->parts->journals.IsClosing(journal)) {
     return;
   }
   for (const DeferredEntry& entry : entries) {
@@ -165,9 +169,9 @@
 }
 
 void Adoption::OnFenced(const JournalId& journal) {
-  this->waiting.erase(journal);
+  this->unfenced_batches.erase(journal);
   const Instant now = this->parts->context.now;
-  this->orphans[journal] = Orphan{now, now + kBackOff, false, false};
+  this->orphans[journal] = Orphan{now, now + kFencedDelay, false, false};
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/deferred_ends.cc
+++ b/packages/core/src/lifecycle/deferred_ends.cc
@@ -5,19 +5,19 @@
 #include "lifecycle/parts.h"
 #include "mustardproxy/core/error.h"
 
-// What follows when an attempt at deferred work is over, and how it ends.
+// Handling of settled attempts at deferred work, and its end.
 namespace mustardproxy::detail {
 
 namespace {
 
-/// Pause after a failed attempt.
-constexpr Duration kRetryPause = std::chrono::milliseconds(500);
-/// Attempts that were not started and are repeated without a pause.
-constexpr std::int32_t kQuickRetries = 2;
-constexpr Duration kLongestRetryPause = std::chrono::seconds(5);
+/// Delay after a failed attempt.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
+/// Consecutive refused starts that are retried without a delay.
+constexpr std::int32_t kImmediateRetries = 2;
+constexpr Duration kMaxRetryDelay = std::chrono::seconds(5);
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Workers that may be lost under one piece of work.
-constexpr std::int32_t kMostLosses = 5;
+/// Number of workers lost while running the work at which it fails.
+constexpr std::int32_t kMaxLosses = 5;
 
 Answer UnknownEnd(std::string text) {
   Answer answer;
@@ -36,8 +36,8 @@
     this->parts->placing.Avoid(&work->avoid, attempt.FailedWorkers());
   }
   work->may_have_run = work->may_have_run || attempt.MayHaveRun();
-  const Verdict verdict = attempt.Judge();
-  if (verdict == Verdict::kFinished) {
+  const AttemptResult result = attempt.Evaluate();
+  if (result == AttemptResult::kFinished) {
     this->End(work, DeferredState::kFinished, attempt.MergedAnswer());
     return;
   }
@@ -45,57 +45,58 @@
     this->EndCancelled(work);
     return;
   }
-  if (verdict == Verdict::kNeverStarted) {
-    this->AfterRefusal(work);
+  if (result == AttemptResult::kNeverStarted) {
+    this->HandleRefusal(work);
     return;
   }
   work->refusals = 0;
-  this->AfterFailure(work, verdict);
+  this->HandleFailure(work, result);
 }
 
-void DeferredFlow::AfterRefusal(DeferredWork* work) {
-  // Each attempt costs a write at the platform, so a worker that refuses again
-  // and again must not be tried at full speed.
+void DeferredFlow::HandleRefusal(DeferredWork* work) {
+  // Each attempt costs a write to the platform, so starts that are refused
+  // repeatedly are retried with an increasing delay.
   ++work->refusals;
-  if (work->refusals <= kQuickRetries) {
+  if (work->refusals <= kImmediateRetries) {
     this->Requeue(work);
     return;
   }
-  const Duration pause = kRetryPause * (work->refusals - kQuickRetries);
-  this->Park(work, std::min<Duration>(pause, kLongestRetryPause));
+  const Duration delay = kRetryDelay * (work->refusals - kImmediateRetries);
+  this->Park(work, std::min<Duration>(delay, kMaxRetryDelay));
 }
 
-void DeferredFlow::AfterFailure(DeferredWork* work, Verdict verdict) {
+void DeferredFlow::HandleFailure(DeferredWork* work, AttemptResult result) {
   const auto terms =
       TermsOf(this->parts->context.configuration, work->request.service);
   const bool idempotent = terms && terms->idempotent;
-  const bool failed = verdict == Verdict::kFailed;
+  const bool failed = result == AttemptResult::kFailed;
   if (!idempotent) {
     this->End(work, failed ? DeferredState::kFailed : DeferredState::kUnknown,
               failed ? work->attempt.MergedAnswer()
-                     : UnknownEnd("the end of a task can not be learnt"));
+                     : UnknownEnd("the result of a task is unknown"));
     return;
   }
   const bool own_fault =
-      failed || (verdict == Verdict::kStopped && !work->attempt.stopping);
+      failed || (result == AttemptResult::kStopped && !work->attempt.stopping);
   if (own_fault) {
     ++work->failures;
   }
-  const bool at_fault = this->parts->health.TaskAtFault(work->request.id);
+  const bool at_fault = this->parts->health.RequestAtFault(work->request.id);
   if (at_fault || work->failures >= terms->max_attempts) {
-    Answer answer = failed ? work->attempt.MergedAnswer()
-                           : UnknownEnd("the task was stopped each time");
+    Answer answer = failed
+                        ? work->attempt.MergedAnswer()
+                        : UnknownEnd("the task was stopped in every attempt");
     answer.error = Error::kTaskFailed;
     this->End(work, DeferredState::kFailed, std::move(answer));
     return;
   }
   if (own_fault) {
-    this->Park(work, kRetryPause);
+    this->Park(work, kRetryDelay);
     return;
   }
-  if (verdict == Verdict::kLost && ++work->losses >= kMostLosses) {
+  if (result == AttemptResult::kLost && ++work->losses >= kMaxLosses) {
     this->End(work, DeferredState::kFailed,
-              UnknownEnd("each worker that ran it was lost"));
+              UnknownEnd("every worker that ran the task was lost"));
     return;
   }
   this->Requeue(work);
@@ -118,7 +119,7 @@
   record.state = state;
   record.answer = std::move(answer);
   this->parts->journals.Append(work->journal,
-                               this->parts->Bounded(std::move(record)));
+                               this->parts->TruncateToFit(std::move(record)));
 }
 
 void DeferredFlow::EndCancelled(DeferredWork* work) {
--- a/packages/core/src/lifecycle/deferred_flow.cc
+++ b/packages/core/src/lifecycle/deferred_flow.cc
@@ -9,19 +9,19 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Accepted work is never given up for lack of room; the scheduler still orders
-/// it by this moment.
-constexpr Duration kNeverGivenUp = std::chrono::hours(24 * 365 * 10);
-/// Attempt numbers that one holder of a journal uses.
+/// Accepted work never expires in the queue for lack of resources; this horizon
+/// only gives the scheduler a deadline to order it by.
+constexpr Duration kPlacementHorizon = std::chrono::hours(24 * 365 * 10);
+/// Size of the range of attempt numbers of one holder of a journal.
 constexpr std::int32_t kAttemptsPerHolder = 1000;
-/// Longest time that a placement may wait for its *started* records while it
-/// keeps its room from other work.
-constexpr Duration kRecordPatience = std::chrono::seconds(1);
-/// Pause after a failed attempt.
-constexpr Duration kRetryPause = std::chrono::milliseconds(500);
-/// Longest time that work waits for another worker than those it failed on.
-constexpr Duration kAvoidTime = std::chrono::seconds(3);
-constexpr Duration kParkPause = std::chrono::seconds(1);
+/// Longest time that a placement may hold its resources while its *started*
+/// records are not durable.
+constexpr Duration kRecordTimeout = std::chrono::seconds(1);
+/// Delay after a failed attempt.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
+/// Longest time that work avoids the workers on which it failed.
+constexpr Duration kMaxAvoidTime = std::chrono::seconds(3);
+constexpr Duration kParkDelay = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -47,7 +47,7 @@
 void DeferredFlow::Enqueue(DeferredWork* work) {
   const Instant now = this->parts->context.now;
   if (!this->MayStart()) {
-    this->Park(work, kParkPause);
+    this->Park(work, kParkDelay);
     return;
   }
   const auto terms =
@@ -57,42 +57,42 @@
   queued.service = work->request.service;
   queued.team = work->request.team;
   queued.arrived = work->accepted;
-  queued.place_by =
-      work->accepted + kNeverGivenUp + (terms ? terms->max_wait : Duration{0});
+  queued.placement_deadline = work->accepted + kPlacementHorizon +
+                              (terms ? terms->max_wait : Duration{0});
   queued.attempt = work->last_attempt + 1;
   queued.avoid = work->avoid;
   const Admission admission = this->parts->scheduler.Enqueue(
       now, this->parts->ledger, std::move(queued), true);
   if (admission.refusal) {
-    this->Park(work, kParkPause);
+    this->Park(work, kParkDelay);
     return;
   }
   ++work->last_attempt;
   work->phase = DeferredPhase::kQueued;
   if (!work->avoid.empty()) {
-    this->timers.Set(work->request.id, now + kAvoidTime);
+    this->timers.Set(work->request.id, now + kMaxAvoidTime);
   }
 }
 
-void DeferredFlow::Park(DeferredWork* work, Duration pause) {
+void DeferredFlow::Park(DeferredWork* work, Duration delay) {
   work->phase = DeferredPhase::kParked;
-  this->timers.Set(work->request.id, this->parts->context.now + pause);
+  this->timers.Set(work->request.id, this->parts->context.now + delay);
 }
 
 void DeferredFlow::OnPlaced(std::span<const Placement> placements) {
   DeferredWork* work = this->Get(placements.front().request);
   if (work == nullptr || work->phase != DeferredPhase::kQueued) {
-    this->parts->placing.Unplace(placements);
+    this->parts->placing.ReleasePlacements(placements);
     return;
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, work->request.service);
-  this->parts->placing.SampleWait(terms ? terms->profile : ProfileId(),
+  this->parts->placing.RecordWait(terms ? terms->profile : ProfileId(),
                                   work->accepted);
   work->phase = DeferredPhase::kRecording;
   work->attempt = Attempt{};
   work->attempt.number = work->last_attempt;
-  work->records_left = placements.size();
+  work->pending_records = placements.size();
   for (const Placement& placement : placements) {
     const TaskPlan plan =
         this->parts->placing.Plan(placement, work->request.service,
@@ -108,8 +108,7 @@
     record.worker_incarnation = plan.worker_incarnation;
     this->parts->journals.Append(work->journal, std::move(record));
   }
-  this->timers.Set(work->request.id,
-                   this->parts->context.now + kRecordPatience);
+  this->timers.Set(work->request.id, this->parts->context.now + kRecordTimeout);
 }
 
 void DeferredFlow::OnDurable(const JournalId& /*journal*/,
@@ -118,7 +117,7 @@
   const bool current = work != nullptr &&
                        work->phase == DeferredPhase::kRecording &&
                        work->attempt.number == record.attempt;
-  if (!current || --work->records_left > 0) {
+  if (!current || --work->pending_records > 0) {
     return;
   }
   this->timers.Clear(record.request);
@@ -141,15 +140,15 @@
   work->attempt = Attempt{};
 }
 
-void DeferredFlow::OnNews(const TaskNews& news) {
-  DeferredWork* work = this->Get(news.request);
-  if (work == nullptr || work->attempt.Find(news.task) == nullptr) {
+void DeferredFlow::OnTaskUpdate(const TaskUpdate& update) {
+  DeferredWork* work = this->Get(update.request);
+  if (work == nullptr || work->attempt.Find(update.task) == nullptr) {
     return;
   }
-  this->parts->placing.NoteHealth(news, work->request.service);
-  this->UpdateSlot(work, news);
+  this->parts->placing.RecordHealth(update, work->request.service);
+  this->UpdateSlot(work, update);
   if (work->phase == DeferredPhase::kRecording) {
-    // A placement that is not sent yet has lost its worker.
+    // A placement that was not sent yet has lost its worker.
     this->WithdrawRecording(work);
     this->timers.Clear(work->request.id);
     this->Requeue(work);
@@ -162,28 +161,28 @@
     this->Settled(work);
     return;
   }
-  if (work->attempt.Broken()) {
+  if (work->attempt.CanNotComplete()) {
     this->StopTasks(work, false);
   }
 }
 
-void DeferredFlow::UpdateSlot(DeferredWork* work, const TaskNews& news) {
-  AttemptSlot* slot = work->attempt.Find(news.task);
-  switch (news.kind) {
-    case TaskNews::Kind::kStarted:
+void DeferredFlow::UpdateSlot(DeferredWork* work, const TaskUpdate& update) {
+  AttemptSlot* slot = work->attempt.Find(update.task);
+  switch (update.kind) {
+    case TaskUpdate::Kind::kStarted:
       slot->state = SlotState::kRunning;
       return;
-    case TaskNews::Kind::kUnclear:
+    case TaskUpdate::Kind::kUncertain:
       return;
-    case TaskNews::Kind::kNeverStarted:
+    case TaskUpdate::Kind::kNeverStarted:
       slot->state = SlotState::kNeverStarted;
-      slot->lease_lost = news.reason == Error::kStaleEpoch;
+      slot->lease_lost = update.reason == Error::kStaleEpoch;
       return;
-    case TaskNews::Kind::kEnded:
+    case TaskUpdate::Kind::kEnded:
       slot->state = SlotState::kEnded;
-      slot->ended = news.ended;
+      slot->ended = update.ended;
       return;
-    case TaskNews::Kind::kLost:
+    case TaskUpdate::Kind::kLost:
       slot->state = SlotState::kLost;
       return;
   }
@@ -215,12 +214,12 @@
   if (work->phase == DeferredPhase::kRecording) {
     this->WithdrawRecording(work);
     this->timers.Clear(work->request.id);
-    this->Park(work, kRetryPause);
+    this->Park(work, kRetryDelay);
     return;
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, work->request.service);
-  // A task that may run only once can't be stopped half way.
+  // A non-idempotent task can't be stopped and restarted.
   if (work->phase != DeferredPhase::kRunning || !terms || !terms->idempotent) {
     return;
   }
@@ -228,10 +227,10 @@
   this->StopTasks(work, true);
 }
 
-void DeferredFlow::OnGivenUp(const RequestId& request) {
+void DeferredFlow::OnExpired(const RequestId& request) {
   DeferredWork* work = this->Get(request);
   if (work != nullptr && work->phase == DeferredPhase::kQueued) {
-    this->Park(work, kParkPause);
+    this->Park(work, kParkDelay);
   }
 }
 
@@ -266,10 +265,10 @@
   work.journal = entry.journal;
   work.accepted = this->parts->context.now;
   // The former holder may have planned attempts that are not in its journal;
-  // their task ids must not come up again as those of other tasks.
+  // their task ids must not be reused for other tasks.
   work.last_attempt =
       (entry.attempt / kAttemptsPerHolder + 1) * kAttemptsPerHolder;
-  // Earlier attempts are not told apart in the journal.
+  // The journal does not distinguish the outcomes of earlier attempts.
   work.may_have_run = entry.attempt > 1;
   ++this->sizes[entry.journal];
   DeferredWork* added =
@@ -291,8 +290,9 @@
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, entry.request.service);
-  // Records of one gang may lie in two batches: then the rest was never sent,
-  // since every record is durable before the first start.
+  // The records of one gang may be split across two batches. If some are
+  // missing, no task of the gang was sent, since all records must be durable
+  // before the first start.
   const auto expected = terms ? terms->tasks : 1;
   if (std::ssize(entry.started) < expected) {
     added->attempt.slots.push_back(
@@ -300,7 +300,7 @@
   }
 }
 
-bool DeferredFlow::Quiet() const {
+bool DeferredFlow::HasNoPendingStart() const {
   return std::ranges::none_of(this->works, [](const auto& entry) {
     const DeferredPhase phase = entry.second.phase;
     return phase == DeferredPhase::kRecording ||
@@ -319,10 +319,10 @@
   for (auto& [request, work] : this->works) {
     if (work.phase == DeferredPhase::kQueued) {
       this->parts->scheduler.Cancel(request);
-      this->Park(&work, kParkPause);
+      this->Park(&work, kParkDelay);
     } else if (work.phase == DeferredPhase::kRecording) {
       this->WithdrawRecording(&work);
-      this->Park(&work, kParkPause);
+      this->Park(&work, kParkDelay);
     }
   }
 }
@@ -344,14 +344,14 @@
       continue;
     }
     if (work->phase == DeferredPhase::kRecording) {
-      // The platform is slow or away: the room is worth more to work that can
-      // start now.
+      // The platform is slow or unreachable: release the resources for work
+      // that can start now.
       this->WithdrawRecording(work);
-      this->Park(work, kParkPause);
+      this->Park(work, kParkDelay);
     } else if (work->phase == DeferredPhase::kParked) {
       this->Enqueue(work);
     } else if (work->phase == DeferredPhase::kQueued) {
-      // The workers that it keeps away from may be the only ones left.
+      // The avoided workers may be the only ones left.
       this->parts->scheduler.Cancel(request);
       work->avoid.clear();
       this->Enqueue(work);
--- a/packages/core/src/lifecycle/forwarding.cc
+++ b/packages/core/src/lifecycle/forwarding.cc
@@ -10,20 +10,21 @@
 namespace {
 
 constexpr std::int32_t kMaxHops = 2;
-/// Times that one process forwards one request.
+/// Maximum number of times that one process forwards one request.
 constexpr std::int32_t kMaxForwards = 3;
-/// The peer gives up this much earlier, so that its answer arrives in time.
+/// The peer's timeout is shorter by this much, so that its answer arrives in
+/// time.
 constexpr Duration kForwardMargin = std::chrono::milliseconds(20);
-/// Pauses before a cancellation is said again; each is twice the one before.
-constexpr Duration kFirstCancelPause = std::chrono::milliseconds(200);
-constexpr Duration kLongestCancelPause = std::chrono::seconds(5);
+/// Delays before a cancellation is repeated; each is twice the previous one.
+constexpr Duration kInitialCancelDelay = std::chrono::milliseconds(200);
+constexpr Duration kMaxCancelDelay = std::chrono::seconds(5);
 constexpr std::int32_t kAcceptedStatus = 202;
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Remembered peers that took deferred work on; bounds the memory.
-constexpr std::size_t kRememberedPeers = 20000;
+/// Maximum number of entries in `accepted_by`; bounds the memory.
+constexpr std::size_t kMaxRememberedPeers = 20000;
 
-/// Errors that another process would answer alike.
-bool Final(std::error_code error) {
+/// Errors that any other process would return as well.
+bool IsFinalError(std::error_code error) {
   return error == Error::kUnknownTeam || error == Error::kHeaderInvalid ||
          error == Error::kBodyTooLarge || error == Error::kCancelled ||
          error == Error::kKeyReused || error == Error::kKeyInProgress;
@@ -31,50 +32,52 @@
 
 }  // namespace
 
-bool Forwarding::MayLeave(const ActiveRequest& entry) const {
+bool Forwarding::MayForward(const ActiveRequest& entry) const {
   const Duration left = entry.deadline - this->parts->context.now;
   return entry.request.hops < kMaxHops && entry.forwards < kMaxForwards &&
          left > 2 * kForwardMargin && !entry.caller_gone;
 }
 
-std::optional<std::vector<ProcessId>> Forwarding::Forbidden(
+std::optional<std::vector<ProcessId>> Forwarding::ExcludedPeers(
     const ActiveRequest& entry, Reach reach) const {
-  std::vector<ProcessId> forbidden = entry.avoid_peers;
-  forbidden.push_back(entry.request.origin);
-  const bool came_from_near = this->parts->IsLocal(entry.request.origin);
-  bool near = true;
-  bool far = reach == Reach::kAnywhere;
-  // One hop inside a data centre and two in all, so that no request travels in
-  // circles: after a hop inside, only another data centre is left.
+  std::vector<ProcessId> excluded = entry.avoid_peers;
+  excluded.push_back(entry.request.origin);
+  const bool from_local_peer = this->parts->IsLocal(entry.request.origin);
+  bool allow_local = true;
+  bool allow_remote = reach == Reach::kAnywhere;
+  // At most one hop within a data centre and two in total, so that requests are
+  // not forwarded in a loop. After a hop within the data centre, only peers of
+  // other data centres are allowed.
   if (entry.request.hops > 0) {
-    near = !came_from_near;
-    far = far && came_from_near;
+    allow_local = !from_local_peer;
+    allow_remote = allow_remote && from_local_peer;
   }
-  if (!near && !far) {
+  if (!allow_local && !allow_remote) {
     return std::nullopt;
   }
-  if (!near) {
+  if (!allow_local) {
     const auto& peers = this->parts->local_peers;
-    forbidden.insert(forbidden.end(), peers.begin(), peers.end());
+    excluded.insert(excluded.end(), peers.begin(), peers.end());
   }
-  if (!far) {
+  if (!allow_remote) {
     const auto& peers = this->parts->remote_peers;
-    forbidden.insert(forbidden.end(), peers.begin(), peers.end());
+    excluded.insert(excluded.end(), peers.begin(), peers.end());
   }
-  return forbidden;
+  return excluded;
 }
 
 bool Forwarding::TryForward(ActiveRequest* entry, Reach reach) {
-  if (!this->MayLeave(*entry)) {
+  if (!this->MayForward(*entry)) {
     return false;
   }
-  const auto forbidden = this->Forbidden(*entry, reach);
-  if (!forbidden) {
+  const auto excluded = this->ExcludedPeers(*entry, reach);
+  if (!excluded) {
     return false;
   }
-  const std::optional<ProcessId> peer = this->parts->membership.ChooseForward(
-      this->parts->context.now, entry->terms.resources, *forbidden,
-      this->parts->context.random());
+  const std::optional<ProcessId> peer =
+      this->parts->membership.ChooseForwardTarget(
+          this->parts->context.now, entry->terms.resources, *excluded,
+          this->parts->context.random());
   if (!peer) {
     return false;
   }
@@ -86,14 +89,13 @@
   if (this->TryForward(entry, Reach::kAnywhere)) {
     return true;
   }
-  const auto forbidden = this->Forbidden(*entry, Reach::kOwnDataCenter);
-  if (!this->MayLeave(*entry) || !forbidden) {
+  const auto excluded = this->ExcludedPeers(*entry, Reach::kOwnDataCenter);
+  if (!this->MayForward(*entry) || !excluded) {
     return false;
   }
   for (const ProcessId& peer : this->parts->local_peers) {
     const auto digest = this->parts->membership.LastDigest(peer);
-    const bool allowed =
-        std::ranges::find(*forbidden, peer) == forbidden->end();
+    const bool allowed = std::ranges::find(*excluded, peer) == excluded->end();
     if (allowed && digest && digest->owned_workers > 0 && !digest->stopping) {
       this->Send(entry, peer);
       return true;
@@ -123,16 +125,16 @@
 }
 
 void Forwarding::Cancel(ActiveRequest* entry) {
-  // Failure: a cancellation is a call of its own and can be lost, or reach the
-  // peer before the request that it belongs to; the peer knows no such request
-  // then. It shows as work that holds a worker until its own end although its
-  // caller has hung up. The peer's answer to the request ends the repeats, so
-  // one of them arrives after the request did.
+  // Failure: a cancellation is a separate call that can be lost, or arrive
+  // before its request, which the peer then does not know. The work then
+  // occupies a worker until it ends although its caller has disconnected. The
+  // cancellation is repeated until the peer answers the request, so one repeat
+  // arrives after the request.
   this->parts->context.Emit(ForwardCancel{entry->peer, entry->request.id});
-  entry->cancel_pause = std::clamp(2 * entry->cancel_pause, kFirstCancelPause,
-                                   kLongestCancelPause);
+  entry->cancel_delay =
+      std::clamp(2 * entry->cancel_delay, kInitialCancelDelay, kMaxCancelDelay);
   this->cancels.Set(entry->request.id,
-                    this->parts->context.now + entry->cancel_pause);
+                    this->parts->context.now + entry->cancel_delay);
 }
 
 void Forwarding::Tick() {
@@ -154,11 +156,11 @@
     return;
   }
   if (event.answer.outcome == Outcome::kNotRun) {
-    this->Return(entry, event.answer);
+    this->HandleNotRun(entry, event.answer);
     return;
   }
   if (entry->terms.deferred && event.answer.status == kAcceptedStatus) {
-    this->RememberTakenOn(event.request, event.peer);
+    this->RecordAcceptedBy(event.request, event.peer);
     if (entry->claimed) {
       this->parts->claims.SettleAccepted(entry->request);
     }
@@ -169,13 +171,13 @@
   this->parts->answers.Finish(entry, event.answer);
 }
 
-void Forwarding::Return(ActiveRequest* entry, Answer answer) {
+void Forwarding::HandleNotRun(ActiveRequest* entry, Answer answer) {
   entry->avoid_peers.push_back(entry->peer);
-  if (Final(answer.error)) {
+  if (IsFinalError(answer.error)) {
     this->parts->answers.Finish(entry, std::move(answer));
     return;
   }
-  this->parts->requests.TryAgain(entry, std::move(answer));
+  this->parts->requests.Retry(entry, std::move(answer));
 }
 
 void Forwarding::On(const ForwardFailed& event) {
@@ -188,25 +190,27 @@
   if (event.not_sent) {
     Answer answer;
     answer.error = Error::kPeerLost;
-    answer.detail = "peer " + event.peer.Text() + " can not be reached";
-    this->Return(entry, std::move(answer));
+    answer.detail = "peer " + event.peer.Text() + " is unreachable";
+    this->HandleNotRun(entry, std::move(answer));
     return;
   }
   if (entry->terms.deferred) {
-    this->RememberTakenOn(event.request, event.peer);
+    this->RecordAcceptedBy(event.request, event.peer);
   }
   const bool recall = entry->terms.idempotent && !entry->terms.deferred &&
                       this->parts->membership.Alive(event.peer);
   if (!recall) {
-    this->parts->answers.Unknown(
+    this->parts->answers.AnswerUnknown(
         entry, Error::kPeerLost,
-        "peer " + event.peer.Text() + " was lost while it had the request");
+        "the connection to peer " + event.peer.Text() +
+            " was lost after the request was forwarded");
     return;
   }
-  // The peer may still run it: before it is placed elsewhere the peer is told
-  // to stop it and to say so, or it could run in two places at once.
+  // The peer may still run the request. It must confirm that it has stopped the
+  // request before the request is placed again, or it could run twice at the
+  // same time.
   entry->phase = RequestPhase::kRecalling;
-  AskPeer ask;
+  QueryPeer ask;
   ask.query = this->parts->NewQuery();
   ask.peer = event.peer;
   ask.request = event.request;
@@ -231,15 +235,17 @@
   const bool stopped =
       event.status && event.status->state == DeferredState::kCancelled;
   if (!stopped) {
-    this->parts->answers.Unknown(entry, Error::kPeerLost,
-                                 "a peer lost sight of the request");
+    this->parts->answers.AnswerUnknown(
+        entry, Error::kPeerLost,
+        "a peer did not confirm that it stopped the request");
     return true;
   }
   Answer last;
   last.outcome = Outcome::kUnknown;
   last.status = kBadGatewayStatus;
   last.error = Error::kPeerLost;
-  last.detail = "a peer was lost while it had the request";
+  last.detail =
+      "the connection to a peer was lost after the request was forwarded";
   if (event.status->ran) {
     entry->may_have_run = true;
   } else {
@@ -247,27 +253,28 @@
     last.status = kUnavailableStatus;
   }
   entry->avoid_peers.push_back(entry->peer);
-  this->parts->requests.TryAgain(entry, std::move(last));
+  this->parts->requests.Retry(entry, std::move(last));
   return true;
 }
 
-std::optional<ProcessId> Forwarding::TakenOnBy(const RequestId& request) const {
-  const auto found = this->taken_on.find(request);
-  if (found == this->taken_on.end()) {
+std::optional<ProcessId> Forwarding::AcceptedBy(
+    const RequestId& request) const {
+  const auto found = this->accepted_by.find(request);
+  if (found == this->accepted_by.end()) {
     return std::nullopt;
   }
   return found->second;
 }
 
-void Forwarding::RememberTakenOn(const RequestId& request,
-                                 const ProcessId& peer) {
-  if (!this->taken_on.insert_or_assign(request, peer).second) {
+void Forwarding::RecordAcceptedBy(const RequestId& request,
+                                  const ProcessId& peer) {
+  if (!this->accepted_by.insert_or_assign(request, peer).second) {
     return;
   }
-  this->taken_on_order.push_back(request);
-  if (this->taken_on_order.size() > kRememberedPeers) {
-    this->taken_on.erase(this->taken_on_order.front());
-    this->taken_on_order.pop_front();
+  this->accepted_by_order.push_back(request);
+  if (this->accepted_by_order.size() > kMaxRememberedPeers) {
+    this->accepted_by.erase(this->accepted_by_order.front());
+    this->accepted_by_order.pop_front();
   }
 }
 
--- a/packages/core/src/lifecycle/key_claims.cc
+++ b/packages/core/src/lifecycle/key_claims.cc
@@ -14,18 +14,18 @@
 constexpr std::int32_t kUnprocessableStatus = 422;
 constexpr std::int32_t kAcceptedStatus = 202;
 constexpr std::int32_t kBadGatewayStatus = 502;
-constexpr Duration kRepeatPause = std::chrono::seconds(1);
-/// An order to drop a claim has no answer, and the claim it follows may still
-/// be on its way, so it is sent several times.
-constexpr std::int32_t kDropsOfAClaim = 4;
-/// Bounds the memory in a long outage; repeats of what is beyond it are told
-/// that the key is in use.
-constexpr std::size_t kMostAbandoned = 4096;
+constexpr Duration kRepeatDelay = std::chrono::seconds(1);
+/// A drop is not confirmed, and the claim that it follows may not have been
+/// written yet, so it is sent this many times.
+constexpr std::int32_t kDropRepeats = 4;
+/// Bounds the memory during a long outage. Claims beyond this number are not
+/// dropped; repeats of their requests are answered that the key is in use.
+constexpr std::size_t kMaxAbandoned = 4096;
 constexpr Duration kDropInterval = std::chrono::seconds(5);
 constexpr Duration kSweepInterval = std::chrono::minutes(10);
-/// Far longer than any caller waits, so that no request is in progress any more
-/// when its claim goes.
-constexpr Duration kShortestRetention = std::chrono::hours(1);
+/// Minimum age of claims that are removed. It exceeds any caller's timeout, so
+/// no request is still in progress when its claim is removed.
+constexpr Duration kMinRetention = std::chrono::hours(1);
 
 }  // namespace
 
@@ -63,19 +63,19 @@
   RequestAnswers& answers = this->parts->answers;
   if (claim.body_hash != BodyHash(View(entry->request.body))) {
     answers.Refuse(entry, Error::kKeyReused, kUnprocessableStatus,
-                   "the idempotency key came with another body before");
+                   "the idempotency key was used with a different body before");
     return;
   }
   if (claim.answer) {
     answers.Finish(entry, *claim.answer);
     return;
   }
-  if (this->HolderGone(claim.request)) {
+  if (this->IsHolderGone(claim.request)) {
     Answer answer;
     answer.outcome = Outcome::kUnknown;
     answer.status = kBadGatewayStatus;
     answer.error = Error::kPeerLost;
-    answer.detail = "the process that held the key is gone";
+    answer.detail = "the process that claimed the idempotency key is gone";
     answers.Finish(entry, std::move(answer));
     return;
   }
@@ -87,26 +87,26 @@
   answer.status = kConflictStatus;
   answer.error = Error::kKeyInProgress;
   answer.detail = "request " + claim.request.Text() + " holds the key";
-  answer.retry_after = kRepeatPause;
+  answer.retry_after = kRepeatDelay;
   answers.Finish(entry, std::move(answer));
 }
 
-bool KeyClaims::HolderGone(const RequestId& holder) const {
-  const std::optional<NamedProcess> maker = MakerOf(holder);
-  if (!maker) {
+bool KeyClaims::IsHolderGone(const RequestId& holder) const {
+  const std::optional<NamedProcess> creator = CreatorOf(holder);
+  if (!creator) {
     return false;
   }
   const CoreOptions& options = this->parts->context.options;
-  if (maker->process == options.self.process) {
-    return maker->incarnation != options.incarnation;
+  if (creator->process == options.self.process) {
+    return creator->incarnation != options.incarnation;
   }
   const std::optional<Digest> digest =
-      this->parts->membership.LastDigest(maker->process);
+      this->parts->membership.LastDigest(creator->process);
   if (!digest) {
-    return !this->parts->membership.Alive(maker->process) &&
-           this->parts->IsLocal(maker->process);
+    return !this->parts->membership.Alive(creator->process) &&
+           this->parts->IsLocal(creator->process);
   }
-  return digest->incarnation != maker->incarnation;
+  return digest->incarnation != creator->incarnation;
 }
 
 void KeyClaims::On(const KeyUnavailable& event) {
@@ -130,17 +130,17 @@
   const bool may_come =
       entry.phase == RequestPhase::kRunning && entry.attempt.slots.size() == 1;
   if (answer.outcome == Outcome::kUnknown && may_come) {
-    this->late[entry.request.id] = std::move(claim);
+    this->unknown_claims[entry.request.id] = std::move(claim);
   }
 }
 
-void KeyClaims::SettleLate(const RequestId& request, const Answer& answer) {
-  const auto found = this->late.find(request);
-  if (found == this->late.end()) {
+void KeyClaims::SettleUnknown(const RequestId& request, const Answer& answer) {
+  const auto found = this->unknown_claims.find(request);
+  if (found == this->unknown_claims.end()) {
     return;
   }
   this->EmitSettle(request, found->second, answer, false);
-  this->late.erase(found);
+  this->unknown_claims.erase(found);
 }
 
 void KeyClaims::SettleAccepted(const Request& request) {
@@ -159,69 +159,70 @@
 }
 
 void KeyClaims::Abandon(const Request& request) {
-  if (this->abandoned.size() >= kMostAbandoned) {
+  if (this->abandoned.size() >= kMaxAbandoned) {
     return;
   }
   this->abandoned[request.id] =
       Claim{request.team, request.idempotency_key, BodyHash(View(request.body)),
-            kDropsOfAClaim};
-  this->drops.Set(request.id, this->parts->context.now + kDropInterval);
+            kDropRepeats};
+  this->drop_timers.Set(request.id, this->parts->context.now + kDropInterval);
 }
 
 void KeyClaims::OnPlatformBack() {
   for (const auto& [request, claim] : this->abandoned) {
-    this->drops.Set(request, this->parts->context.now);
+    this->drop_timers.Set(request, this->parts->context.now);
   }
 }
 
 void KeyClaims::Tick() {
   const Instant now = this->parts->context.now;
-  for (const RequestId& request : this->drops.TakeDue(now)) {
+  for (const RequestId& request : this->drop_timers.TakeDue(now)) {
     const auto found = this->abandoned.find(request);
     if (found == this->abandoned.end()) {
       continue;
     }
     this->EmitSettle(request, found->second, {}, true);
-    // While the platform is away nothing is achieved, so nothing is counted.
+    // Drops sent while the platform is unreachable have no effect and are not
+    // counted.
     if (this->parts->context.platform_reachable &&
         --found->second.drops_left <= 0) {
       this->abandoned.erase(found);
       continue;
     }
-    this->drops.Set(request, now + kDropInterval);
+    this->drop_timers.Set(request, now + kDropInterval);
   }
 }
 
-void KeyClaims::Housekeep() {
+void KeyClaims::SweepExpired() {
   const CoreContext& context = this->parts->context;
   if (context.now < this->next_sweep || context.configuration.version == 0) {
     return;
   }
   this->next_sweep = context.now + kSweepInterval;
-  if (!context.platform_reachable || !this->SweepsForTheCell()) {
+  if (!context.platform_reachable || !this->IsCellSweeper()) {
     return;
   }
   SweepClaims sweep;
-  sweep.retention =
-      std::max(this->parts->LongestRetention(), kShortestRetention);
+  sweep.retention = std::max(this->parts->LongestRetention(), kMinRetention);
   this->parts->context.Emit(sweep);
 }
 
-bool KeyClaims::SweepsForTheCell() const {
-  // Views may differ, and two processes may sweep at a time; that costs calls
-  // and nothing else.
+bool KeyClaims::IsCellSweeper() const {
+  // Processes may have different views of the membership, so two may sweep at
+  // the same time; this only costs additional calls.
   const CoreOptions& options = this->parts->context.options;
-  const bool lower_elsewhere =
+  const bool lower_data_center_alive =
       std::ranges::any_of(options.peers, [&](const PeerDescription& peer) {
         return peer.data_center < options.self.data_center &&
                this->parts->membership.Alive(peer.process);
       });
-  return this->parts->membership.KeepsWatch() && !lower_elsewhere;
+  return this->parts->membership.IsConfigurationWatcher() &&
+         !lower_data_center_alive;
 }
 
 void KeyClaims::EmitSettle(const RequestId& request, const Claim& claim,
                            const Answer& answer, bool drop) {
-  SettleKey settle;
+  ResolveKeyClaim settle;
   settle.request = request;
   settle.team = claim.team;
   settle.key = claim.key;
--- a/packages/core/src/lifecycle/orphan_gangs.cc
+++ b/packages/core/src/lifecycle/orphan_gangs.cc
@@ -8,27 +8,30 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A stop order may be lost.
-constexpr Duration kStopAgain = std::chrono::seconds(2);
-/// First and longest pause until a peer that follows a gang is asked again.
-constexpr Duration kFirstPause = std::chrono::seconds(2);
-constexpr Duration kLongestPause = std::chrono::seconds(30);
+/// Stop orders are repeated since they may be lost.
+constexpr Duration kStopRetryInterval = std::chrono::seconds(2);
+/// Initial and maximum delay until peers are queried again about a gang that
+/// one of them tracks.
+constexpr Duration kInitialPollDelay = std::chrono::seconds(2);
+constexpr Duration kMaxPollDelay = std::chrono::seconds(30);
 
 }  // namespace
 
-void OrphanGangs::OnFound(const RequestId& request, const ServiceId& service) {
+void OrphanGangs::OnForeignTask(const RequestId& request,
+                                const ServiceId& service) {
   const auto terms = TermsOf(this->parts->context.configuration, service);
   const bool candidate = terms && terms->tasks > 1 && terms->idempotent &&
-                         !terms->deferred && !this->asking.contains(request) &&
+                         !terms->deferred &&
+                         !this->peers_to_query.contains(request) &&
                          this->parts->table.Find(request) == nullptr;
   if (!candidate) {
     return;
   }
-  this->AskAll(request);
+  this->QueryPeers(request);
 }
 
-void OrphanGangs::AskAll(const RequestId& request) {
-  std::vector<ProcessId>& peers = this->asking[request];
+void OrphanGangs::QueryPeers(const RequestId& request) {
+  std::vector<ProcessId>& peers = this->peers_to_query[request];
   peers.clear();
   for (const auto* group :
        {&this->parts->local_peers, &this->parts->remote_peers}) {
@@ -38,42 +41,43 @@
       }
     }
   }
-  this->AskNext(request);
+  this->QueryNextPeer(request);
 }
 
-void OrphanGangs::AskNext(const RequestId& request) {
-  std::vector<ProcessId>& peers = this->asking.at(request);
+void OrphanGangs::QueryNextPeer(const RequestId& request) {
+  std::vector<ProcessId>& peers = this->peers_to_query.at(request);
   if (peers.empty()) {
     this->retries.Set(request, this->parts->context.now);
     return;
   }
-  AskPeer ask;
+  QueryPeer ask;
   ask.query = this->parts->NewQuery();
   ask.peer = peers.back();
   ask.request = request;
   peers.pop_back();
-  this->questions[ask.query] = request;
+  this->pending_queries[ask.query] = request;
   this->parts->context.Emit(std::move(ask));
 }
 
 bool OrphanGangs::OnQueryAnswered(const QueryAnswered& event) {
-  const auto found = this->questions.find(event.query);
-  if (found == this->questions.end()) {
+  const auto found = this->pending_queries.find(event.query);
+  if (found == this->pending_queries.end()) {
     return false;
   }
   const RequestId request = found->second;
-  this->questions.erase(found);
+  this->pending_queries.erase(found);
   if (event.status) {
-    // Somebody follows it, and stops it if it is not whole. Failure: that was
-    // only the process that had forwarded it, or it dies or loses the workers,
-    // and gives up at the caller's timeout. A part of the gang would run on and
-    // hold its worker until its time limit, so the peers are asked again.
-    Duration& pause = this->pauses[request];
-    pause = std::clamp(2 * pause, kFirstPause, kLongestPause);
-    this->followed.Set(request, this->parts->context.now + pause);
+    // A peer tracks the gang and stops it if it is incomplete. Failure: the
+    // peer only forwarded the request, or it dies or loses the workers, and
+    // stops tracking the request at the caller's timeout. The remaining tasks
+    // would run on and occupy their workers until their time limit, so the
+    // peers are queried again.
+    Duration& delay = this->poll_delays[request];
+    delay = std::clamp(2 * delay, kInitialPollDelay, kMaxPollDelay);
+    this->next_queries.Set(request, this->parts->context.now + delay);
     return true;
   }
-  this->AskNext(request);
+  this->QueryNextPeer(request);
   return true;
 }
 
@@ -85,11 +89,11 @@
       continue;
     }
     this->parts->workers.StopOrphansOf(request);
-    this->retries.Set(request, now + kStopAgain);
+    this->retries.Set(request, now + kStopRetryInterval);
   }
-  for (const RequestId& request : this->followed.TakeDue(now)) {
+  for (const RequestId& request : this->next_queries.TakeDue(now)) {
     if (this->parts->workers.RunsOrphanOf(request)) {
-      this->AskAll(request);
+      this->QueryPeers(request);
     } else {
       this->Forget(request);
     }
@@ -97,8 +101,8 @@
 }
 
 void OrphanGangs::Forget(const RequestId& request) {
-  this->asking.erase(request);
-  this->pauses.erase(request);
+  this->peers_to_query.erase(request);
+  this->poll_delays.erase(request);
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/parts.cc
+++ b/packages/core/src/lifecycle/parts.cc
@@ -12,16 +12,17 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Retries per first attempt, and those always allowed.
+/// Retries allowed per first attempt, and per second regardless of load.
 constexpr double kRetryShare = 0.1;
 constexpr double kMinRetriesPerSecond = 10;
-/// Remainders that tell the runs of one process apart, and all remainders.
+/// Epoch remainders reserved for the runs of one process, and for all
+/// processes.
 constexpr Epoch kRunsPerProcess = 4096;
 constexpr Epoch kEpochStride = 256 * kRunsPerProcess;
-constexpr Duration kHousekeepingInterval = std::chrono::seconds(1);
-/// Deferred work of a process that has owned no worker for so long is handed to
-/// a peer that does.
-constexpr Duration kStrandedPatience = std::chrono::seconds(3);
+constexpr Duration kMaintenanceInterval = std::chrono::seconds(1);
+/// Deferred work of a process that has owned no worker for this long is handed
+/// over to a peer that owns workers.
+constexpr Duration kStrandedTimeout = std::chrono::seconds(3);
 
 /// @return how many processes of the cell have a lower name
 std::int32_t NumberOf(const CoreOptions& options) {
@@ -31,7 +32,7 @@
       }));
 }
 
-/// Gives each run of each process epochs of its own.
+/// Assigns disjoint epochs to each run of each process.
 void SetEpochs(CoreOptions* options) {
   const auto number = static_cast<Epoch>(NumberOf(*options));
   options->ownership.epoch_stride = kEpochStride;
@@ -85,13 +86,13 @@
 void Parts::Boot() {
   this->context.Record(
       TextEvent(TimelineKind::kProcessStarted, this->context.Self().Text()));
-  this->next_housekeeping = this->context.now + kHousekeepingInterval;
+  this->next_maintenance = this->context.now + kMaintenanceInterval;
   this->journals.Boot();
   this->workers.Boot();
 }
 
 void Parts::Advance() {
-  this->RouteNews();
+  this->DispatchTaskUpdates();
   this->requests.Tick();
   this->forwarding.Tick();
   this->deferred.Tick();
@@ -102,47 +103,47 @@
   this->placing.Expire();
   this->placing.Run();
   this->placing.ChooseVictims();
-  this->RouteNews();
+  this->DispatchTaskUpdates();
   this->workers.Tick();
   this->TickMembership();
   this->configuration.Tick();
   this->adoption.Tick();
   this->shutdown.Tick();
-  this->RouteNews();
+  this->DispatchTaskUpdates();
   this->journals.Tick();
-  this->Housekeep();
+  this->RunMaintenance();
 }
 
-void Parts::RouteNews() {
-  std::vector<TaskNews> news = this->tasks.TakeNews();
-  while (!news.empty()) {
-    for (const TaskNews& each : news) {
+void Parts::DispatchTaskUpdates() {
+  std::vector<TaskUpdate> updates = this->tasks.TakeUpdates();
+  while (!updates.empty()) {
+    for (const TaskUpdate& each : updates) {
       if (each.request.Empty()) {
         continue;
       }
       if (this->deferred.Find(each.request) != nullptr) {
-        this->deferred.OnNews(each);
+        this->deferred.OnTaskUpdate(each);
       } else {
-        this->requests.OnNews(each);
+        this->requests.OnTaskUpdate(each);
       }
     }
-    news = this->tasks.TakeNews();
+    updates = this->tasks.TakeUpdates();
   }
 }
 
 void Parts::TickMembership() {
   const Instant now = this->context.now;
-  const PeerNews news{this->context.configuration.version,
-                      this->context.stopping, this->context.platform_reachable,
-                      this->journals.Generation()};
+  const AnnouncedState current{
+      this->context.configuration.version, this->context.stopping,
+      this->context.platform_reachable, this->journals.Generation()};
   const bool due = this->membership.NextWakeup() <= now;
-  if (due || news != this->told_peers) {
-    this->told_peers = news;
+  if (due || current != this->announced_state) {
+    this->announced_state = current;
     this->membership.Tick(now, this->OwnDigest(), this->context.actions);
   }
-  for (const ProcessId& peer : this->membership.TakeLost(now)) {
+  for (const ProcessId& peer : this->membership.TakeLostPeers(now)) {
     this->context.Record(PeerEvent(TimelineKind::kPeerLost, peer));
-    this->adoption.ListSoon();
+    this->adoption.ScheduleList();
   }
 }
 
@@ -173,16 +174,16 @@
   return digest;
 }
 
-void Parts::Housekeep() {
-  if (this->context.now < this->next_housekeeping) {
+void Parts::RunMaintenance() {
+  if (this->context.now < this->next_maintenance) {
     return;
   }
-  this->next_housekeeping = this->context.now + kHousekeepingInterval;
+  this->next_maintenance = this->context.now + kMaintenanceInterval;
   if (this->context.configuration.version > 0) {
     (void)this->store.Expire(this->context.now, this->LongestRetention());
   }
-  this->claims.Housekeep();
-  this->journals.EraseOld();
+  this->claims.SweepExpired();
+  this->journals.EraseExpired();
   this->HandOverStranded();
   this->workers.CloseLost();
   this->workers.ProbeIdle();
@@ -205,7 +206,7 @@
                 this->orphan_gangs.NextWakeup(), this->tasks.NextWakeup(),
                 this->journals.NextWakeup(), this->adoption.NextWakeup(),
                 this->configuration.NextWakeup(), this->shutdown.NextWakeup(),
-                this->placing.NextWakeup(), this->next_housekeeping});
+                this->placing.NextWakeup(), this->next_maintenance});
   return next;
 }
 
@@ -245,11 +246,11 @@
     return;
   }
   this->stranded_since = std::min(this->stranded_since, now);
-  if (now - this->stranded_since < kStrandedPatience) {
+  if (now - this->stranded_since < kStrandedTimeout) {
     return;
   }
   for (const JournalId& journal : this->journals.Names()) {
-    if (!this->journals.Unused(journal)) {
+    if (!this->journals.IsUnused(journal)) {
       this->HandOver(journal);
     }
   }
@@ -282,25 +283,25 @@
                           : this->context.configuration.default_team;
 }
 
-void Parts::SettleLateAnswer(const TaskNews& news) {
-  const bool running = news.kind == TaskNews::Kind::kStarted ||
-                       news.kind == TaskNews::Kind::kUnclear;
+void Parts::SettleLateAnswer(const TaskUpdate& update) {
+  const bool running = update.kind == TaskUpdate::Kind::kStarted ||
+                       update.kind == TaskUpdate::Kind::kUncertain;
   if (running) {
     return;
   }
-  const bool whole = news.kind == TaskNews::Kind::kEnded &&
-                     (news.ended.end == TaskEnd::kFinished ||
-                      news.ended.end == TaskEnd::kFailed);
+  const bool whole = update.kind == TaskUpdate::Kind::kEnded &&
+                     (update.ended.end == TaskEnd::kFinished ||
+                      update.ended.end == TaskEnd::kFailed);
   if (!whole) {
-    this->claims.ForgetLate(news.request);
+    this->claims.ForgetUnknown(update.request);
     return;
   }
   Answer answer;
   answer.outcome = Outcome::kCompleted;
-  answer.status = news.ended.status;
-  answer.content_type = news.ended.content_type;
-  answer.body = news.ended.body;
-  this->claims.SettleLate(news.request, answer);
+  answer.status = update.ended.status;
+  answer.content_type = update.ended.content_type;
+  answer.body = update.ended.body;
+  this->claims.SettleUnknown(update.request, answer);
 }
 
 void Parts::StopAtPeers(const RequestId& request) {
@@ -308,7 +309,7 @@
     if (!this->membership.Alive(peer)) {
       continue;
     }
-    AskPeer ask;
+    QueryPeer ask;
     ask.query = this->NewQuery();
     ask.peer = peer;
     ask.request = request;
@@ -317,13 +318,13 @@
   }
 }
 
-FinishedRecord Parts::Bounded(FinishedRecord record) const {
+FinishedRecord Parts::TruncateToFit(FinishedRecord record) const {
   if (EncodedSizeBound(record) <=
       this->context.options.journal.max_batch_bytes) {
     return record;
   }
   record.answer.body.reset();
-  record.answer.detail = "the answer was too large to be kept";
+  record.answer.detail = "the answer is too large to be stored";
   record.state = DeferredState::kFailed;
   return record;
 }
--- a/packages/core/src/lifecycle/placing.cc
+++ b/packages/core/src/lifecycle/placing.cc
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Most tasks placed in one event; bounds the time that other events wait.
+/// Maximum number of tasks placed per event; bounds the delay of other events.
 constexpr std::size_t kPlacementLimit = 64;
 constexpr Duration kVictimInterval = std::chrono::milliseconds(5);
-/// Workers that one request keeps away from.
+/// Maximum number of workers that one request avoids.
 constexpr std::size_t kMaxAvoided = 8;
 
-/// Placements of one request stand together.
+/// @return the leading placements that belong to the same request; placements
+///   of one request are adjacent
 std::span<const Placement> FirstRequest(std::span<const Placement> placements) {
   std::size_t count = 1;
   while (count < placements.size() &&
@@ -28,7 +29,8 @@
 
 }  // namespace
 
-Admission Placing::Enqueue(const ActiveRequest& entry, Instant place_by) {
+Admission Placing::Enqueue(const ActiveRequest& entry,
+                           Instant placement_deadline) {
   const Instant now = this->parts->context.now;
   if (this->parts->ledger.WorkerCount() == 0) {
     return {Error::kNoWorker, "this entry process owns no worker",
@@ -39,7 +41,7 @@
   queued.service = entry.request.service;
   queued.team = entry.request.team;
   queued.arrived = entry.arrived;
-  queued.place_by = place_by;
+  queued.placement_deadline = placement_deadline;
   queued.attempt = entry.last_attempt + 1;
   queued.avoid = entry.avoid;
   return this->parts->scheduler.Enqueue(now, this->parts->ledger,
@@ -66,9 +68,9 @@
   for (const RequestId& request :
        this->parts->scheduler.Expire(this->parts->context.now)) {
     if (this->parts->deferred.Find(request) != nullptr) {
-      this->parts->deferred.OnGivenUp(request);
+      this->parts->deferred.OnExpired(request);
     } else {
-      this->parts->requests.OnGivenUp(request);
+      this->parts->requests.OnExpired(request);
     }
   }
 }
@@ -89,9 +91,9 @@
   }
 }
 
-void Placing::Unplace(std::span<const Placement> placements) {
+void Placing::ReleasePlacements(std::span<const Placement> placements) {
   for (const Placement& placement : placements) {
-    this->parts->scheduler.TaskDone(
+    this->parts->scheduler.OnTaskEnded(
         this->parts->context.now, &this->parts->ledger, placement.task, false);
   }
 }
@@ -106,8 +108,8 @@
   plan.resources = placement.resources;
   plan.max_run = max_run;
   plan.detached = detached;
-  const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Owned(this->parts->context.now, placement.worker);
+  const std::optional<OwnedWorker> owned = this->parts->ownership.OwnedForStart(
+      this->parts->context.now, placement.worker);
   if (owned) {
     plan.epoch = owned->epoch;
     plan.worker_incarnation = owned->incarnation;
@@ -146,21 +148,21 @@
   }
 }
 
-void Placing::NoteHealth(const TaskNews& news, const ServiceId& service) {
+void Placing::RecordHealth(const TaskUpdate& update, const ServiceId& service) {
   const Instant now = this->parts->context.now;
-  const bool failed =
-      news.kind == TaskNews::Kind::kEnded && news.ended.end == TaskEnd::kFailed;
-  const bool fine = news.kind == TaskNews::Kind::kEnded &&
-                    news.ended.end == TaskEnd::kFinished;
-  if (failed || news.unreachable) {
-    this->parts->health.OnFailure(now, news.worker, service, news.request);
+  const bool failed = update.kind == TaskUpdate::Kind::kEnded &&
+                      update.ended.end == TaskEnd::kFailed;
+  const bool fine = update.kind == TaskUpdate::Kind::kEnded &&
+                    update.ended.end == TaskEnd::kFinished;
+  if (failed || update.unreachable) {
+    this->parts->health.OnFailure(now, update.worker, service, update.request);
     this->health_changed = true;
   } else if (fine) {
-    this->parts->health.OnSuccess(now, news.worker, service);
+    this->parts->health.OnSuccess(now, update.worker, service);
   }
 }
 
-void Placing::SampleWait(const ProfileId& profile, Instant arrived) {
+void Placing::RecordWait(const ProfileId& profile, Instant arrived) {
   RecordSample sample;
   sample.profile = profile;
   sample.value = (this->parts->context.now - arrived).count();
--- a/packages/core/src/lifecycle/query_flow.cc
+++ b/packages/core/src/lifecycle/query_flow.cc
@@ -9,11 +9,11 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A cancellation that is not durable by then is answered with the state so
-/// far.
-constexpr Duration kCancelPatience = std::chrono::seconds(5);
-/// Peers that are asked about one unknown request.
-constexpr std::size_t kMaxPeersAsked = 8;
+/// A cancellation that is not durable after this time is answered with the
+/// current state.
+constexpr Duration kCancelTimeout = std::chrono::seconds(5);
+/// Maximum number of peers queried for one unknown request.
+constexpr std::size_t kMaxPeersQueried = 8;
 
 }  // namespace
 
@@ -25,22 +25,22 @@
   if (this->AnswerHere(event)) {
     return;
   }
-  Relayed next;
+  RelayedQuery next;
   next.query = event.query;
   next.request = event.request;
   next.cancel = event.cancel;
   next.from_peer = event.from_peer;
-  next.peers_left = this->PeersToAsk(event.request, event.from_peer);
-  this->AskNext(std::move(next));
+  next.peers_left = this->PeersToQuery(event.request, event.from_peer);
+  this->QueryNextPeer(std::move(next));
 }
 
 void QueryFlow::StopOrphans(const QueryArrived& event) {
   this->parts->workers.StopOrphansOf(event.request);
-  const bool followed = this->StatusHere(event.request).has_value();
+  const bool tracked = this->StatusHere(event.request).has_value();
   DeferredStatus status;
   status.id = event.request;
-  status.state = followed ? DeferredState::kRunning : DeferredState::kUnknown;
-  status.ran = followed || this->parts->workers.RunsOrphanOf(event.request);
+  status.state = tracked ? DeferredState::kRunning : DeferredState::kUnknown;
+  status.ran = tracked || this->parts->workers.RunsOrphanOf(event.request);
   this->Answer(event.query, std::move(status));
 }
 
@@ -48,7 +48,8 @@
   if (event.cancel &&
       this->parts->deferred.Cancel(event.request, event.query)) {
     this->cancelling[event.query] = event.request;
-    this->limits.Set(event.query, this->parts->context.now + kCancelPatience);
+    this->cancel_deadlines.Set(event.query,
+                               this->parts->context.now + kCancelTimeout);
     return true;
   }
   ActiveRequest* entry = this->parts->table.Find(event.request);
@@ -79,7 +80,7 @@
     return status;
   }
   const DeferredEntry* entry = this->parts->store.Find(request);
-  // A recorded end is final, whoever holds the journal now.
+  // A recorded end is final, whichever process holds the journal now.
   if (entry != nullptr && entry->ended) {
     status.state = entry->state;
     status.result = entry->result;
@@ -104,12 +105,12 @@
   status.id = request;
   status.state = entry->state;
   status.ran = entry->ran || !entry->started.empty();
-  status.detail = "its journal is changing hands";
+  status.detail = "its journal is being transferred to another process";
   return status;
 }
 
 void QueryFlow::AnswerFromStore(std::uint64_t query, const RequestId& request) {
-  this->limits.Clear(query);
+  this->cancel_deadlines.Clear(query);
   this->cancelling.erase(query);
   DeferredStatus status;
   status.id = request;
@@ -122,27 +123,27 @@
   this->Answer(query, std::move(status));
 }
 
-std::vector<ProcessId> QueryFlow::PeersToAsk(const RequestId& request,
-                                             bool from_peer) const {
+std::vector<ProcessId> QueryFlow::PeersToQuery(const RequestId& request,
+                                               bool from_peer) const {
   std::vector<ProcessId> peers;
   const auto add = [&](const ProcessId& peer) {
     const bool known = std::ranges::find(peers, peer) != peers.end();
     if (!known && peer != this->parts->context.Self() &&
-        peers.size() < kMaxPeersAsked) {
+        peers.size() < kMaxPeersQueried) {
       peers.push_back(peer);
     }
   };
-  const auto taken_on = this->parts->forwarding.TakenOnBy(request);
-  if (taken_on) {
-    add(*taken_on);
+  const auto accepted_by = this->parts->forwarding.AcceptedBy(request);
+  if (accepted_by) {
+    add(*accepted_by);
   }
-  // A peer has asked the others itself.
+  // The peer that sent the query queries the other processes itself.
   if (from_peer) {
     return peers;
   }
-  const auto maker = MakerOf(request);
-  if (maker && this->parts->IsPeer(maker->process)) {
-    add(maker->process);
+  const auto creator = CreatorOf(request);
+  if (creator && this->parts->IsPeer(creator->process)) {
+    add(creator->process);
   }
   for (const ProcessId& peer : this->parts->local_peers) {
     if (this->parts->membership.Alive(peer)) {
@@ -157,11 +158,12 @@
   return peers;
 }
 
-void QueryFlow::AskNext(Relayed next) {
+void QueryFlow::QueryNextPeer(RelayedQuery next) {
   if (next.peers_left.empty()) {
-    // Failure: the journal was adopted here while the peers were asked, and
-    // only the state is looked up again. The caller reads "finished" with an
-    // empty body, or a cancellation passes the work by.
+    // Failure: the journal was adopted here while the peers were queried. If
+    // only the state were looked up again, the caller would read "finished"
+    // with an empty body, or a cancellation would not reach the work. So the
+    // whole query is repeated.
     QueryArrived again;
     again.query = next.query;
     again.request = next.request;
@@ -170,33 +172,33 @@
     if (this->AnswerHere(again)) {
       return;
     }
-    // A peer goes on to ask others, who may know more.
+    // A peer continues with other processes, which may know more.
     this->Answer(next.query,
                  next.from_peer ? std::nullopt : this->LastKnown(next.request));
     return;
   }
-  AskPeer ask;
+  QueryPeer ask;
   ask.query = this->parts->NewQuery();
   ask.peer = next.peers_left.front();
   ask.request = next.request;
   ask.cancel = next.cancel;
   next.peers_left.erase(next.peers_left.begin());
-  this->relayed.emplace(ask.query, std::move(next));
+  this->relayed_queries.emplace(ask.query, std::move(next));
   this->parts->context.Emit(std::move(ask));
 }
 
 void QueryFlow::On(const QueryAnswered& event) {
-  const auto found = this->relayed.find(event.query);
-  if (found == this->relayed.end()) {
+  const auto found = this->relayed_queries.find(event.query);
+  if (found == this->relayed_queries.end()) {
     return;
   }
-  Relayed next = std::move(found->second);
-  this->relayed.erase(found);
+  RelayedQuery next = std::move(found->second);
+  this->relayed_queries.erase(found);
   if (event.status) {
     this->Answer(next.query, event.status);
     return;
   }
-  this->AskNext(std::move(next));
+  this->QueryNextPeer(std::move(next));
 }
 
 void QueryFlow::Answer(std::uint64_t query,
@@ -206,7 +208,7 @@
 
 void QueryFlow::Tick() {
   for (const std::uint64_t query :
-       this->limits.TakeDue(this->parts->context.now)) {
+       this->cancel_deadlines.TakeDue(this->parts->context.now)) {
     const auto found = this->cancelling.find(query);
     if (found == this->cancelling.end()) {
       continue;
@@ -216,7 +218,7 @@
     this->parts->deferred.ForgetCancelQuery(request, query);
     std::optional<DeferredStatus> status = this->StatusHere(request);
     if (status) {
-      status->detail = "the cancellation is not settled yet";
+      status->detail = "the cancellation is not confirmed yet";
     }
     this->Answer(query, std::move(status));
   }
--- a/packages/core/src/lifecycle/request_attempts.cc
+++ b/packages/core/src/lifecycle/request_attempts.cc
@@ -4,43 +4,44 @@
 #include "lifecycle/parts.h"
 #include "lifecycle/request_flow.h"
 
-// What becomes known of a request's attempts, and whether it is tried again.
+// Task updates of a request's attempts, and the decision to retry.
 namespace mustardproxy::detail {
 namespace {
 
 constexpr std::int32_t kBadGatewayStatus = 502;
-/// Times that a start may provably not happen before the request is given up.
+/// Maximum number of attempts and forwards of one request; after that it is not
+/// retried.
 constexpr std::int32_t kMaxStarts = 10;
 
 }  // namespace
 
-void RequestFlow::OnNews(const TaskNews& news) {
-  ActiveRequest* entry = this->parts->table.Find(news.request);
+void RequestFlow::OnTaskUpdate(const TaskUpdate& update) {
+  ActiveRequest* entry = this->parts->table.Find(update.request);
   if (entry == nullptr) {
-    this->parts->SettleLateAnswer(news);
+    this->parts->SettleLateAnswer(update);
     return;
   }
-  AttemptSlot* slot = entry->attempt.Find(news.task);
+  AttemptSlot* slot = entry->attempt.Find(update.task);
   if (slot == nullptr) {
     return;
   }
-  this->parts->placing.NoteHealth(news, entry->request.service);
-  switch (news.kind) {
-    case TaskNews::Kind::kStarted:
+  this->parts->placing.RecordHealth(update, entry->request.service);
+  switch (update.kind) {
+    case TaskUpdate::Kind::kStarted:
       slot->state = SlotState::kRunning;
       return;
-    case TaskNews::Kind::kUnclear:
-      this->OnUnclear(entry, news);
+    case TaskUpdate::Kind::kUncertain:
+      this->OnUncertain(entry, update);
       return;
-    case TaskNews::Kind::kNeverStarted:
+    case TaskUpdate::Kind::kNeverStarted:
       slot->state = SlotState::kNeverStarted;
-      slot->lease_lost = news.reason == Error::kStaleEpoch;
+      slot->lease_lost = update.reason == Error::kStaleEpoch;
       break;
-    case TaskNews::Kind::kEnded:
+    case TaskUpdate::Kind::kEnded:
       slot->state = SlotState::kEnded;
-      slot->ended = news.ended;
+      slot->ended = update.ended;
       break;
-    case TaskNews::Kind::kLost:
+    case TaskUpdate::Kind::kLost:
       slot->state = SlotState::kLost;
       break;
   }
@@ -48,20 +49,20 @@
     this->Settled(entry);
     return;
   }
-  // A gang that has lost a task is not whole: the others must not run on alone.
-  if (entry->attempt.Broken()) {
+  // A gang that has lost a task is incomplete; its other tasks must not run on.
+  if (entry->attempt.CanNotComplete()) {
     this->StopTasks(entry);
   }
 }
 
-void RequestFlow::OnUnclear(ActiveRequest* entry, const TaskNews& news) {
+void RequestFlow::OnUncertain(ActiveRequest* entry, const TaskUpdate& update) {
   entry->may_have_run = true;
-  // Nothing more can be learnt in time that would allow a second start, so a
-  // non-idempotent request is answered now instead of at its deadline.
+  // A non-idempotent request can't be started again, whatever its worker
+  // reports later, so it is answered now instead of at its deadline.
   if (!entry->terms.idempotent) {
-    this->parts->answers.Unknown(
+    this->parts->answers.AnswerUnknown(
         entry, Error::kAnswerIncomplete,
-        "the answer of worker " + news.worker.Text() + " was lost");
+        "the answer of worker " + update.worker.Text() + " was lost");
   }
 }
 
@@ -89,14 +90,14 @@
   if (!attempt.preempted) {
     this->parts->placing.Avoid(&entry->avoid, attempt.FailedWorkers());
   }
-  const Verdict verdict = attempt.Judge();
-  if (verdict == Verdict::kFinished) {
+  const AttemptResult result = attempt.Evaluate();
+  if (result == AttemptResult::kFinished) {
     this->parts->answers.Finish(entry, attempt.MergedAnswer());
     return;
   }
   if (!entry->recalls.empty()) {
-    this->parts->answers.Recalls(entry, entry->may_have_run,
-                                 DeferredState::kCancelled);
+    this->parts->answers.AnswerRecalls(entry, entry->may_have_run,
+                                       DeferredState::kCancelled);
     Answer cancelled;
     cancelled.error = Error::kCancelled;
     this->parts->answers.Finish(entry, std::move(cancelled));
@@ -106,30 +107,30 @@
   last.status = kUnavailableStatus;
   last.error = Error::kNoWorker;
   last.detail = "no worker accepted the task";
-  if (verdict == Verdict::kNeverStarted) {
-    this->TryAgain(entry, std::move(last));
+  if (result == AttemptResult::kNeverStarted) {
+    this->Retry(entry, std::move(last));
     return;
   }
-  this->AfterFailure(entry);
+  this->HandleFailure(entry);
 }
 
-void RequestFlow::AfterFailure(ActiveRequest* entry) {
+void RequestFlow::HandleFailure(ActiveRequest* entry) {
   const Attempt& attempt = entry->attempt;
-  const Verdict verdict = attempt.Judge();
+  const AttemptResult result = attempt.Evaluate();
   Answer last;
   last.outcome = Outcome::kUnknown;
   last.status = kBadGatewayStatus;
   last.error =
-      verdict == Verdict::kLost ? Error::kWorkerLost : Error::kTaskFailed;
-  last.detail = verdict == Verdict::kLost
+      result == AttemptResult::kLost ? Error::kWorkerLost : Error::kTaskFailed;
+  last.detail = result == AttemptResult::kLost
                     ? "a worker was lost while it ran the task"
-                    : "a task was stopped before its end";
-  if (verdict == Verdict::kFailed) {
+                    : "a task was stopped before it ended";
+  if (result == AttemptResult::kFailed) {
     last = attempt.MergedAnswer();
     entry->last_failure = last;
   }
   const RequestId& id = entry->request.id;
-  const bool at_fault = this->parts->health.TaskAtFault(id);
+  const bool at_fault = this->parts->health.RequestAtFault(id);
   const bool again =
       entry->terms.idempotent && !at_fault && !entry->caller_gone &&
       (attempt.preempted || entry->runs < entry->terms.max_attempts);
@@ -141,17 +142,18 @@
     this->parts->answers.Finish(entry, std::move(last));
     return;
   }
-  this->TryAgain(entry, std::move(last));
+  this->Retry(entry, std::move(last));
 }
 
-void RequestFlow::TryAgain(ActiveRequest* entry, Answer last) {
+void RequestFlow::Retry(ActiveRequest* entry, Answer last) {
   const Instant now = this->parts->context.now;
   const std::int32_t starts =
       entry->last_attempt % kAttemptsPerProcess + entry->forwards;
   if (entry->runs > 0) {
-    // The limit on waiting holds for each attempt that runs, the caller's
-    // timeout for all of them.
-    entry->place_by = std::min(entry->deadline, now + entry->terms.max_wait);
+    // The limit on the time in the queue applies to each attempt that ran, the
+    // caller's timeout to all of them.
+    entry->placement_deadline =
+        std::min(entry->deadline, now + entry->terms.max_wait);
   }
   const bool may = this->TimeLeft(*entry) && !entry->caller_gone &&
                    starts < kMaxStarts && this->MayRetry(*entry);
@@ -166,15 +168,15 @@
 }
 
 bool RequestFlow::MayRetry(const ActiveRequest& entry) {
-  // A start that was not even sent cost nothing.
+  // A start that was never sent does not count against the retry budget.
   const bool free = entry.phase == RequestPhase::kRunning &&
-                    entry.attempt.Judge() == Verdict::kNeverStarted &&
+                    entry.attempt.Evaluate() == AttemptResult::kNeverStarted &&
                     entry.attempt.LeaseLost();
   return free || this->parts->retry_budget.TryRetry(this->parts->context.now);
 }
 
 bool RequestFlow::TimeLeft(const ActiveRequest& entry) const {
-  return this->parts->context.now < entry.place_by;
+  return this->parts->context.now < entry.placement_deadline;
 }
 
 void RequestFlow::OnPreempted(const Preemption& preemption) {
--- a/packages/core/src/lifecycle/request_flow.cc
+++ b/packages/core/src/lifecycle/request_flow.cc
@@ -8,12 +8,14 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// A queued request may move to a peer that shows room after this wait.
-constexpr Duration kMoveAfter = std::chrono::milliseconds(200);
-constexpr Duration kMoveInterval = std::chrono::milliseconds(100);
-/// Most requests looked at in one round of moves; bounds its time.
-constexpr std::size_t kMovesPerRound = 32;
-/// Answers of the worker that arrive this late still count.
+/// Time in the queue after which a request may be forwarded to a peer with free
+/// resources.
+constexpr Duration kForwardAfter = std::chrono::milliseconds(200);
+constexpr Duration kForwardRoundInterval = std::chrono::milliseconds(100);
+/// Maximum number of requests examined in one round of forwarding; bounds its
+/// duration.
+constexpr std::size_t kForwardsPerRound = 32;
+/// Time after the deadline in which an answer of the worker is still accepted.
 constexpr Duration kAnswerGrace = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -41,7 +43,7 @@
   entry.terms = *TermsOf(context.configuration, request.service);
   entry.arrived = context.now;
   entry.deadline = context.now + request.timeout;
-  entry.place_by =
+  entry.placement_deadline =
       context.now + std::min(request.timeout, entry.terms.max_wait);
   entry.last_attempt = this->parts->ProcessNumber() * kAttemptsPerProcess;
   ActiveRequest* added = this->parts->table.Add(std::move(entry));
@@ -95,7 +97,7 @@
   }
   const RequestId id = entry->request.id;
   this->parts->placing.Run();
-  // Placing may have changed the table, though it never answers.
+  // Placing may have changed the table, though it never answers a request.
   entry = this->parts->table.Find(id);
   if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
     return;
@@ -105,17 +107,17 @@
   }
   this->parts->context.Record(RequestEvent(TimelineKind::kRequestQueued, id));
   this->parts->table.queued.push_back(id);
-  this->next_move =
-      std::min(this->next_move, this->parts->context.now + kMoveAfter);
+  this->next_forward_round = std::min(this->next_forward_round,
+                                      this->parts->context.now + kForwardAfter);
 }
 
 bool RequestFlow::ForwardUnqueued(ActiveRequest* entry,
                                   const Admission& admission) {
-  // Failure: a process that owns no worker has sent its peer as much as the
-  // peer's last digest had room for, and refuses all else until the next
-  // digest, though the peer has long ended the work and would queue more.
-  // Callers of this process see refusals while workers idle. So the peer
-  // decides itself.
+  // Failure: a process that owns no worker has forwarded as much as its peer's
+  // last digest had resources for, and refuses everything else until the next
+  // digest, although the peer has finished the work and would queue more.
+  // Requests are then refused while workers are idle. So the request is
+  // forwarded anyway and the peer decides.
   if (admission.refusal == Error::kNoWorker) {
     return this->parts->forwarding.TryForwardToOwner(entry);
   }
@@ -123,7 +125,8 @@
 }
 
 Admission RequestFlow::Queue(ActiveRequest* entry) {
-  Admission admission = this->parts->placing.Enqueue(*entry, entry->place_by);
+  Admission admission =
+      this->parts->placing.Enqueue(*entry, entry->placement_deadline);
   if (admission.refusal) {
     return admission;
   }
@@ -137,7 +140,7 @@
   const CoreContext& context = this->parts->context;
   ActiveRequest* entry = this->parts->table.Find(placements.front().request);
   if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
-    this->parts->placing.Unplace(placements);
+    this->parts->placing.ReleasePlacements(placements);
     return;
   }
   entry->phase = RequestPhase::kRunning;
@@ -146,7 +149,7 @@
   const bool detached = placements.size() > 1;
   const Duration left = entry->deadline - context.now + kAnswerGrace;
   const Duration timeout = detached ? kDetachedStartTimeout : left;
-  this->parts->placing.SampleWait(entry->terms.profile, entry->arrived);
+  this->parts->placing.RecordWait(entry->terms.profile, entry->arrived);
   for (const Placement& placement : placements) {
     this->parts->placing.Plan(placement, entry->request.service,
                               entry->terms.max_run, detached);
@@ -158,14 +161,14 @@
   }
 }
 
-void RequestFlow::OnGivenUp(const RequestId& request) {
+void RequestFlow::OnExpired(const RequestId& request) {
   ActiveRequest* entry = this->parts->table.Find(request);
   if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
     return;
   }
   this->parts->answers.Refuse(
       entry, Error::kWaitTooLong, kUnavailableStatus,
-      "no room within the longest wait",
+      "no resources became free within the maximum wait",
       this->parts->scheduler.RetryAfter(this->parts->context.now));
 }
 
@@ -187,8 +190,8 @@
                                   "cancelled");
       return;
     case RequestPhase::kRunning:
-      // A non-idempotent task that was cut short could leave half an effect
-      // behind, so it runs on.
+      // A non-idempotent task runs on, since stopping it could leave a partial
+      // effect.
       if (entry->terms.idempotent) {
         this->StopTasks(entry);
       }
@@ -208,8 +211,8 @@
   switch (entry->phase) {
     case RequestPhase::kQueued:
       this->parts->scheduler.Cancel(entry->request.id);
-      this->parts->answers.Recalls(entry, entry->may_have_run,
-                                   DeferredState::kCancelled);
+      this->parts->answers.AnswerRecalls(entry, entry->may_have_run,
+                                         DeferredState::kCancelled);
       this->parts->answers.Refuse(entry, Error::kCancelled, kUnavailableStatus,
                                   "recalled");
       return;
@@ -217,7 +220,7 @@
       this->StopTasks(entry);
       return;
     default:
-      this->parts->answers.Recalls(entry, true, DeferredState::kUnknown);
+      this->parts->answers.AnswerRecalls(entry, true, DeferredState::kUnknown);
       return;
   }
 }
@@ -236,23 +239,24 @@
       return;
     case RequestPhase::kQueued:
       this->parts->scheduler.Cancel(request);
-      this->OnGivenUp(request);
+      this->OnExpired(request);
       return;
     case RequestPhase::kRunning:
       this->StopTasks(entry);
-      this->parts->answers.Unknown(
+      this->parts->answers.AnswerUnknown(
           entry, Error::kDeadlineExceeded,
           "the caller's timeout passed while the task ran");
       return;
     case RequestPhase::kForwarded:
       this->parts->context.Emit(ForwardCancel{entry->peer, request});
-      this->parts->answers.Unknown(entry, Error::kDeadlineExceeded,
-                                   "the caller's timeout passed at a peer");
+      this->parts->answers.AnswerUnknown(
+          entry, Error::kDeadlineExceeded,
+          "the caller's timeout passed at a peer");
       return;
     case RequestPhase::kRecalling:
-      this->parts->answers.Unknown(
+      this->parts->answers.AnswerUnknown(
           entry, Error::kPeerLost,
-          "a peer was lost and its fate not learnt in time");
+          "a lost peer did not confirm in time that it stopped the request");
       return;
     case RequestPhase::kJournalling:
       this->parts->deferred.OnAcceptTimeout(entry);
@@ -265,40 +269,41 @@
   for (const RequestId& request : this->parts->table.TakeExpired(now)) {
     this->OnDeadline(request);
   }
-  if (now >= this->next_move) {
-    this->MoveWaiting();
+  if (now >= this->next_forward_round) {
+    this->ForwardWaiting();
   }
 }
 
-void RequestFlow::MoveWaiting() {
+void RequestFlow::ForwardWaiting() {
   const Instant now = this->parts->context.now;
   std::deque<RequestId>& queued = this->parts->table.queued;
-  std::size_t looked = 0;
+  std::size_t examined = 0;
   std::size_t left = queued.size();
-  for (; left > 0 && looked < kMovesPerRound; --left) {
+  for (; left > 0 && examined < kForwardsPerRound; --left) {
     const RequestId id = queued.front();
     ActiveRequest* entry = this->parts->table.Find(id);
     if (entry == nullptr || entry->phase != RequestPhase::kQueued) {
       queued.pop_front();
       continue;
     }
-    if (now - entry->queued_at < kMoveAfter) {
+    if (now - entry->queued_at < kForwardAfter) {
       break;
     }
     queued.pop_front();
-    ++looked;
+    ++examined;
     const bool half_waited =
-        now - entry->arrived > (entry->place_by - entry->arrived) / 2;
+        now - entry->arrived > (entry->placement_deadline - entry->arrived) / 2;
     const Reach reach = half_waited ? Reach::kAnywhere : Reach::kOwnDataCenter;
     if (!this->parts->forwarding.TryForward(entry, reach)) {
       queued.push_back(id);
     }
   }
-  this->next_move = queued.empty() ? Instant::max() : now + kMoveInterval;
+  this->next_forward_round =
+      queued.empty() ? Instant::max() : now + kForwardRoundInterval;
 }
 
 Instant RequestFlow::NextWakeup() const {
-  return std::min(this->parts->table.NextDeadline(), this->next_move);
+  return std::min(this->parts->table.NextDeadline(), this->next_forward_round);
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/shutdown_flow.cc
+++ b/packages/core/src/lifecycle/shutdown_flow.cc
@@ -5,11 +5,11 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Longest wait for the platform to take the *handed over* records. Without
-/// them a peer adopts the journals after the orphan time.
-constexpr Duration kHandOverPatience = std::chrono::seconds(3);
-/// Longest wait for workers to answer a release. Without it their leases lapse.
-constexpr Duration kReleasePatience = std::chrono::seconds(3);
+/// Longest wait for the *handed over* records to become durable. Without them a
+/// peer adopts the journals only after the delay for lost processes.
+constexpr Duration kHandOverTimeout = std::chrono::seconds(3);
+/// Longest wait for workers to confirm a release. Unreleased leases expire.
+constexpr Duration kReleaseTimeout = std::chrono::seconds(3);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -32,7 +32,7 @@
     return;
   }
   this->next_check = now + kCheckInterval;
-  const bool late = now >= this->step_limit;
+  const bool timed_out = now >= this->step_deadline;
   switch (this->step) {
     case Step::kRunning:
     case Step::kFinished:
@@ -44,12 +44,12 @@
       }
       return;
     case Step::kHandingOver:
-      if (this->handing_over.empty() || late) {
+      if (this->handing_over.empty() || timed_out) {
         this->Release();
       }
       return;
     case Step::kReleasing:
-      if (this->parts->workers.AllReleased() || late) {
+      if (this->parts->workers.AllReleased() || timed_out) {
         this->step = Step::kFinished;
         this->next_check = Instant::max();
         this->parts->context.Emit(ShutdownFinished{});
@@ -60,12 +60,12 @@
 
 void ShutdownFlow::HandOver() {
   this->step = Step::kHandingOver;
-  this->step_limit = this->parts->context.now + kHandOverPatience;
-  // Work whose tasks run goes on at the workers. The end of a task that is
-  // learnt after this record would be lost for the adopter, so nothing of the
-  // journal is followed any more.
+  this->step_deadline = this->parts->context.now + kHandOverTimeout;
+  // Running tasks continue at their workers. The end of a task received after
+  // this record would be lost for the adopter, so work of the journal is no
+  // longer tracked.
   for (const JournalId& journal : this->parts->journals.Names()) {
-    if (this->parts->journals.Unused(journal)) {
+    if (this->parts->journals.IsUnused(journal)) {
       continue;
     }
     this->handing_over.insert(journal);
@@ -81,7 +81,7 @@
 
 void ShutdownFlow::Release() {
   this->step = Step::kReleasing;
-  this->step_limit = this->parts->context.now + kReleasePatience;
+  this->step_deadline = this->parts->context.now + kReleaseTimeout;
   this->parts->workers.ReleaseAll();
 }
 
--- a/packages/core/src/lifecycle/shutdown_flow.h
+++ b/packages/core/src/lifecycle/shutdown_flow.h
@@ -10,8 +10,8 @@
 
 struct Parts;
 
-/// A graceful stop: what is in progress ends, then journals and leases are
-/// handed over.
+/// Graceful shutdown: requests in progress are completed, then journals are
+/// handed over and leases released.
 class ShutdownFlow {
  public:
   explicit ShutdownFlow(Parts* parts) : parts(parts) {}
@@ -31,7 +31,7 @@
   Parts* parts;
   Step step = Step::kRunning;
   std::set<JournalId> handing_over;
-  Instant step_limit = Instant::max();
+  Instant step_deadline = Instant::max();
   Instant next_check = Instant::max();
 };
 
--- a/packages/core/src/lifecycle/task_pauses.h
+++ b/packages/core/src/lifecycle/task_pauses.h
@@ -3,18 +3,18 @@
 
 #include "mustardproxy/core/time.h"
 
-/// How long the task tracker waits before it asks a worker.
+/// Delays before the task tracker queries a worker.
 namespace mustardproxy::detail {
 
-/// First pause before a task whose answer was lost is asked about again.
-inline constexpr Duration kFirstPause = std::chrono::milliseconds(100);
-/// Pause between questions about a detached task whose end should come with a
-/// renewal.
-inline constexpr Duration kBackupPause = std::chrono::seconds(10);
-/// Pause until a stop order that got no answer is followed up.
-inline constexpr Duration kStopPatience = std::chrono::seconds(1);
-/// Time after a start's timeout in which its result is surely reported.
-inline constexpr Duration kReportPatience = std::chrono::seconds(5);
+/// Initial delay before a task whose answer was lost is queried again.
+inline constexpr Duration kInitialPollDelay = std::chrono::milliseconds(100);
+/// Interval between queries for a detached task, whose end is normally reported
+/// with a renewal.
+inline constexpr Duration kDetachedPollInterval = std::chrono::seconds(10);
+/// Time after which an unanswered stop order is followed by a query.
+inline constexpr Duration kStopTimeout = std::chrono::seconds(1);
+/// Time after a start's timeout within which its result is reported.
+inline constexpr Duration kReportTimeout = std::chrono::seconds(5);
 
 }  // namespace mustardproxy::detail
 
--- a/packages/core/src/lifecycle/task_questions.cc
+++ b/packages/core/src/lifecycle/task_questions.cc
@@ -8,45 +8,45 @@
 #include "lifecycle/task_tracker.h"
 #include "mustardproxy/core/error.h"
 
-// What the tracker asks workers about tasks whose answer was lost, and what it
-// makes of the answers.
+// Queries to workers about tasks whose answer was lost, and the handling of
+// their answers.
 namespace mustardproxy::detail {
 
 namespace {
 
-constexpr Duration kLongestPause = std::chrono::seconds(1);
-/// Covers the time a renewal travels and the drift between two clocks over one
-/// task lease.
+constexpr Duration kMaxPollDelay = std::chrono::seconds(1);
+/// Covers the transit time of a renewal and the drift between two clocks over
+/// one task lease.
 constexpr Duration kLeaseMargin = std::chrono::seconds(1);
-/// Another renewal may be on its way already when one is sent on purpose, so
-/// only the second answer surely belongs to a renewal sent later.
+/// A renewal may already be in transit when confirming ones are sent, so only
+/// the second answer certainly belongs to a renewal sent after the query.
 constexpr std::int32_t kConfirmingRenewals = 2;
 
 }  // namespace
 
 void TaskTracker::On(const TaskQueried& event) {
   Tracked* tracked = this->Find(event.task);
-  if (tracked == nullptr || !tracked->asking) {
+  if (tracked == nullptr || !tracked->query_pending) {
     return;
   }
-  tracked->asking = false;
+  tracked->query_pending = false;
   switch (event.state) {
     case TaskQueried::State::kNeverStarted:
       this->ConfirmNeverStarted(tracked, event.incarnation);
       return;
     case TaskQueried::State::kEnded:
-      this->Settle(event.task, TaskNews::Kind::kEnded, event.ended);
+      this->Settle(event.task, TaskUpdate::Kind::kEnded, event.ended);
       return;
     case TaskQueried::State::kRunning:
       this->OnStillRunning(tracked);
       return;
     case TaskQueried::State::kUnreachable:
-      this->OnNotReachable(tracked);
+      this->OnWorkerNotReachable(tracked);
       return;
   }
 }
 
-void TaskTracker::AskMissing(const WorkerReport& report) {
+void TaskTracker::QueryMissingTasks(const WorkerReport& report) {
   std::set<TaskId> running;
   for (const RunningTask& each : report.running) {
     running.insert(each.task);
@@ -56,9 +56,9 @@
     const bool missing =
         tracked->phase == Phase::kRunning && !running.contains(task);
     // The report may be older than the start, or the end may have been dropped
-    // from the worker's bounded list: only a question tells.
-    if (missing && !tracked->asking) {
-      this->Ask(tracked);
+    // from the worker's bounded list; only a query can tell.
+    if (missing && !tracked->query_pending) {
+      this->QueryWorker(tracked);
     }
   }
 }
@@ -70,25 +70,25 @@
       continue;
     }
     if (report.incarnation != tracked->plan.worker_incarnation) {
-      this->Settle(task, TaskNews::Kind::kLost);
+      this->Settle(task, TaskUpdate::Kind::kLost);
     } else if (--tracked->confirmations == 0) {
-      this->Settle(task, TaskNews::Kind::kNeverStarted);
+      this->Settle(task, TaskUpdate::Kind::kNeverStarted);
     }
   }
 }
 
-void TaskTracker::Ask(Tracked* tracked) {
-  if (tracked->asking) {
+void TaskTracker::QueryWorker(Tracked* tracked) {
+  if (tracked->query_pending) {
     return;
   }
   const std::string address =
       this->parts->workers.AddressOf(tracked->plan.worker);
-  this->CheckAfter(tracked, kReportPatience);
+  this->ScheduleCheck(tracked, kReportTimeout);
   if (address.empty()) {
-    this->OnNotReachable(tracked);
+    this->OnWorkerNotReachable(tracked);
     return;
   }
-  tracked->asking = true;
+  tracked->query_pending = true;
   QueryTask query;
   query.worker = tracked->plan.worker;
   query.address = address;
@@ -102,24 +102,24 @@
   const bool same_run =
       answered_by != 0 && answered_by == plan.worker_incarnation;
   if (same_run) {
-    this->Settle(plan.task, TaskNews::Kind::kNeverStarted);
+    this->Settle(plan.task, TaskUpdate::Kind::kNeverStarted);
     return;
   }
-  // A worker that has restarted answers "never started" about a task that it
-  // ran before: the caller of a non-idempotent request would be told "not run"
-  // though it ran. Renewals are refused by a restarted worker, so an accepted
-  // one that was sent after the question shows that the answer counts.
+  // Failure: a restarted worker answers "never started" for a task that it ran
+  // before the restart, and a non-idempotent request that ran would be answered
+  // "not run". A restarted worker refuses renewals, so an accepted renewal sent
+  // after the query shows that the answer is valid.
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(plan.worker);
+      this->parts->ownership.HeldLease(plan.worker);
   const bool can_confirm = answered_by == 0 && plan.worker_incarnation != 0 &&
                            owned &&
                            owned->incarnation == plan.worker_incarnation;
   if (!can_confirm) {
-    this->Settle(plan.task, TaskNews::Kind::kLost);
+    this->Settle(plan.task, TaskUpdate::Kind::kLost);
     return;
   }
   tracked->confirmations = kConfirmingRenewals;
-  this->CheckAfter(tracked, kStopPatience);
+  this->ScheduleCheck(tracked, kStopTimeout);
   for (std::int32_t i = 0; i < kConfirmingRenewals; ++i) {
     this->parts->workers.RenewNow(plan.worker, *owned);
   }
@@ -132,54 +132,59 @@
     return;
   }
   const bool owned =
-      this->parts->ownership.Held(tracked->plan.worker).has_value();
+      this->parts->ownership.HeldLease(tracked->plan.worker).has_value();
   if (tracked->plan.detached && owned) {
-    this->CheckAfter(tracked, kBackupPause);
+    this->ScheduleCheck(tracked, kDetachedPollInterval);
     return;
   }
-  if (tracked->unclear && !tracked->plan.detached) {
-    this->Report(*tracked, TaskNews::Kind::kUnclear);
+  if (tracked->uncertain && !tracked->plan.detached) {
+    this->Report(*tracked, TaskUpdate::Kind::kUncertain);
   }
-  tracked->pause = std::clamp(2 * tracked->pause, kFirstPause, kLongestPause);
-  this->CheckAfter(tracked, tracked->pause);
+  tracked->delay =
+      std::clamp(2 * tracked->delay, kInitialPollDelay, kMaxPollDelay);
+  this->ScheduleCheck(tracked, tracked->delay);
 }
 
-void TaskTracker::OnNotReachable(Tracked* tracked) {
-  if (this->SurelyOver(*tracked)) {
-    this->Settle(tracked->plan.task, TaskNews::Kind::kLost, {},
+void TaskTracker::OnWorkerNotReachable(Tracked* tracked) {
+  if (this->HasCertainlyEnded(*tracked)) {
+    this->Settle(tracked->plan.task, TaskUpdate::Kind::kLost, {},
                  Error::kWorkerLost);
     return;
   }
-  this->Report(*tracked, TaskNews::Kind::kUnclear);
-  this->news.back().unreachable = true;
-  tracked->pause = std::clamp(2 * tracked->pause, kFirstPause, kLongestPause);
-  this->CheckAfter(tracked, tracked->pause);
+  this->Report(*tracked, TaskUpdate::Kind::kUncertain);
+  this->updates.back().unreachable = true;
+  tracked->delay =
+      std::clamp(2 * tracked->delay, kInitialPollDelay, kMaxPollDelay);
+  this->ScheduleCheck(tracked, tracked->delay);
 }
 
-bool TaskTracker::SurelyOver(const Tracked& tracked) {
+bool TaskTracker::HasCertainlyEnded(const Tracked& tracked) {
   const Instant now = this->parts->context.now;
   const Duration lease = this->parts->context.options.task_lease + kLeaseMargin;
-  // Whoever renews its lease, the worker ends it at its time limit.
+  // The worker stops the task at its time limit, whichever process renews its
+  // lease.
   if (now >= tracked.since + tracked.plan.max_run + lease &&
-      now >= this->LapseOf(tracked)) {
+      now >= this->LeaseExpiry(tracked)) {
     return true;
   }
-  if (now < this->LapseOf(tracked)) {
+  if (now < this->LeaseExpiry(tracked)) {
     return false;
   }
   const auto terms =
       TermsOf(this->parts->context.configuration, tracked.plan.service);
-  // What must not run twice is not started again anyway.
+  // Non-idempotent work is not started again in any case.
   if (!terms || !terms->idempotent) {
     return true;
   }
-  this->parts->consent.Ask(tracked.plan.request);
-  const Instant consent = this->parts->consent.Since(tracked.plan.request);
-  // A peer that says so may have lost the worker just before.
+  this->parts->consent.QueryPeers(tracked.plan.request);
+  const Instant consent =
+      this->parts->consent.LastConsentAt(tracked.plan.request);
+  // The consenting peer may have renewed the lease and lost the worker just
+  // before.
   return consent != Instant::max() && now >= consent + lease;
 }
 
-Instant TaskTracker::LapseOf(const Tracked& tracked) const {
+Instant TaskTracker::LeaseExpiry(const Tracked& tracked) const {
   const WorkerId& worker = tracked.plan.worker;
   const CoreOptions& options = this->parts->context.options;
   Instant last = tracked.since;
@@ -191,7 +196,7 @@
   if (tracked.phase != Phase::kSent) {
     return lapse;
   }
-  return std::max(lapse, tracked.since + options.unconfirmed_start_patience);
+  return std::max(lapse, tracked.since + options.unconfirmed_start_timeout);
 }
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/lifecycle/task_tracker.cc
+++ b/packages/core/src/lifecycle/task_tracker.cc
@@ -31,17 +31,17 @@
 
 void TaskTracker::Watch(TaskPlan plan) {
   const TaskId task = plan.task;
-  // Failure: work comes back to the process that had started it, whose
-  // scheduler still counts its task. Followed anew as somebody else's, the task
-  // would stay counted for good.
+  // Failure: work is adopted back by the process that started it, whose
+  // scheduler still has the task's resources allocated. Tracked as a task of
+  // another process, it would never release them.
   const Tracked* known = this->Find(task);
   const bool placed = known != nullptr && known->placed;
   this->Plan(std::move(plan));
   Tracked* tracked = this->Find(task);
   tracked->placed = placed;
   tracked->phase = Phase::kSent;
-  tracked->unclear = true;
-  this->Ask(tracked);
+  tracked->uncertain = true;
+  this->QueryWorker(tracked);
 }
 
 void TaskTracker::Send(const TaskId& task, Body body, Duration timeout) {
@@ -52,26 +52,26 @@
   const Instant now = this->parts->context.now;
   const TaskPlan& plan = tracked->plan;
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Owned(now, plan.worker);
-  // The lease may have been lost, or the host may have begun to leave, between
-  // the placement and this send, for example while a *started* record was on
-  // its way to the platform. Then there is no lease to send under, or a newer
-  // one, under which the room was not counted. Such a task is placed again.
+      this->parts->ownership.OwnedForStart(now, plan.worker);
+  // Between the placement and this call the lease may have been lost or the
+  // worker may have started to leave, for example while a *started* record was
+  // being written. Then there is no lease, or a newer one under which the
+  // task's resources were not allocated. Such a task is placed again.
   if (!owned || owned->epoch != plan.epoch) {
-    this->Settle(task, TaskNews::Kind::kNeverStarted, {}, Error::kStaleEpoch);
+    this->Settle(task, TaskUpdate::Kind::kNeverStarted, {}, Error::kStaleEpoch);
     return;
   }
   StartTask start;
   start.worker = plan.worker;
   start.address = owned->description.address;
   start.epoch = plan.epoch;
-  start.order.task = plan.task;
-  start.order.request = plan.request;
-  start.order.service = plan.service;
-  start.order.resources = plan.resources;
-  start.order.max_run = plan.max_run;
-  start.order.body = std::move(body);
-  start.order.detached = plan.detached;
+  start.spec.task = plan.task;
+  start.spec.request = plan.request;
+  start.spec.service = plan.service;
+  start.spec.resources = plan.resources;
+  start.spec.max_run = plan.max_run;
+  start.spec.body = std::move(body);
+  start.spec.detached = plan.detached;
   start.timeout = timeout;
   this->parts->context.Emit(std::move(start));
   this->parts->context.Record(TaskEvent(
@@ -79,7 +79,7 @@
   this->parts->ownership.OnStartSent(now, plan.worker);
   tracked->phase = Phase::kSent;
   tracked->since = now;
-  this->CheckAfter(tracked, timeout + kReportPatience);
+  this->ScheduleCheck(tracked, timeout + kReportTimeout);
 }
 
 void TaskTracker::Withdraw(const TaskId& task) {
@@ -88,7 +88,7 @@
     return;
   }
   tracked->disowned = true;
-  this->Settle(task, TaskNews::Kind::kNeverStarted);
+  this->Settle(task, TaskUpdate::Kind::kNeverStarted);
 }
 
 void TaskTracker::Stop(const TaskId& task, bool checkpoint) {
@@ -97,7 +97,7 @@
     return;
   }
   if (tracked->phase == Phase::kPlanned) {
-    this->Settle(task, TaskNews::Kind::kNeverStarted, {}, Error::kCancelled);
+    this->Settle(task, TaskUpdate::Kind::kNeverStarted, {}, Error::kCancelled);
     return;
   }
   tracked->stop_wanted = true;
@@ -112,14 +112,14 @@
   }
   tracked->disowned = true;
   if (tracked->phase == Phase::kPlanned) {
-    this->Settle(task, TaskNews::Kind::kNeverStarted);
+    this->Settle(task, TaskUpdate::Kind::kNeverStarted);
   }
 }
 
 void TaskTracker::SendStop(Tracked* tracked) {
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(tracked->plan.worker);
-  this->CheckAfter(tracked, kStopPatience);
+      this->parts->ownership.HeldLease(tracked->plan.worker);
+  this->ScheduleCheck(tracked, kStopTimeout);
   if (!owned) {
     this->StopAtOwner(*tracked);
     return;
@@ -135,19 +135,21 @@
 }
 
 void TaskTracker::StopAtOwner(const Tracked& tracked) {
-  // Failure: a worker is taken over while this process's tasks run there, and
-  // refuses its stops from then on. It shows as tasks of callers that have gone
-  // which hold the worker to their own end. The peer that owns the worker has
-  // found the task there and stops it; the others have nothing to stop. A task
-  // that another process follows by now is its own business, and progress that
-  // is to be kept is not cut off by a plain stop.
+  // Failure: another process takes a worker over while tasks of this process
+  // run there, and the worker refuses stop orders of this process from then on.
+  // Tasks of disconnected callers then occupy the worker until they end. The
+  // peer that owns the worker has found the task there and stops it; the other
+  // peers have nothing to stop. A disowned task is left to the process that
+  // tracks it now, and a task to be checkpointed is not stopped without a
+  // checkpoint.
   if (!tracked.disowned && !tracked.checkpoint) {
     this->parts->StopAtPeers(tracked.plan.request);
   }
 }
 
 void TaskTracker::On(const TaskStarted& event) {
-  this->parts->ownership.OnTraffic(this->parts->context.now, event.worker);
+  this->parts->ownership.OnStartAnswered(this->parts->context.now,
+                                         event.worker);
   Tracked* tracked = this->Find(event.task);
   if (tracked == nullptr || tracked->phase != Phase::kSent) {
     return;
@@ -156,8 +158,9 @@
 }
 
 void TaskTracker::On(const TaskEnded& event) {
-  this->parts->ownership.OnTraffic(this->parts->context.now, event.worker);
-  this->Settle(event.ended.task, TaskNews::Kind::kEnded, event.ended);
+  this->parts->ownership.OnStartAnswered(this->parts->context.now,
+                                         event.worker);
+  this->Settle(event.ended.task, TaskUpdate::Kind::kEnded, event.ended);
 }
 
 void TaskTracker::On(const TaskNotStarted& event) {
@@ -169,7 +172,7 @@
     this->parts->ownership.OnStartRefused(this->parts->context.now,
                                           event.worker);
   }
-  this->Settle(event.task, TaskNews::Kind::kNeverStarted, {}, event.reason);
+  this->Settle(event.task, TaskUpdate::Kind::kNeverStarted, {}, event.reason);
 }
 
 void TaskTracker::On(const TaskUncertain& event) {
@@ -177,8 +180,8 @@
   if (tracked == nullptr) {
     return;
   }
-  tracked->unclear = true;
-  this->Ask(tracked);
+  tracked->uncertain = true;
+  this->QueryWorker(tracked);
 }
 
 void TaskTracker::On(const TaskStopAnswered& event) {
@@ -187,9 +190,9 @@
     return;
   }
   if (!event.stopped) {
-    // A stop can overtake the start it belongs to. Only a question settles
-    // that: from then on the worker refuses the late start.
-    this->Ask(tracked);
+    // A stop can overtake its start. Only a query settles this: after it the
+    // worker refuses the late start.
+    this->QueryWorker(tracked);
     return;
   }
   EndedTask ended;
@@ -200,12 +203,12 @@
   this->parts->context.Record(
       TaskEvent(TimelineKind::kTaskStopped, ended.request, event.task,
                 tracked->plan.worker, tracked->plan.epoch));
-  this->Settle(event.task, TaskNews::Kind::kEnded, ended);
+  this->Settle(event.task, TaskUpdate::Kind::kEnded, ended);
 }
 
 void TaskTracker::OnReport(const WorkerReport& report) {
   for (const EndedTask& ended : report.ended) {
-    this->Settle(ended.task, TaskNews::Kind::kEnded, ended);
+    this->Settle(ended.task, TaskUpdate::Kind::kEnded, ended);
   }
   for (const RunningTask& running : report.running) {
     Tracked* tracked = this->Find(running.task);
@@ -213,7 +216,7 @@
       this->OnReportedRunning(tracked);
     }
   }
-  this->AskMissing(report);
+  this->QueryMissingTasks(report);
   this->CountConfirmations(report);
 }
 
@@ -225,9 +228,10 @@
       continue;
     }
     if (tracked->phase == Phase::kPlanned) {
-      this->Settle(task, TaskNews::Kind::kNeverStarted, {}, Error::kWorkerLost);
+      this->Settle(task, TaskUpdate::Kind::kNeverStarted, {},
+                   Error::kWorkerLost);
     } else if (tracked->plan.worker_incarnation != 0) {
-      this->Settle(task, TaskNews::Kind::kLost, {}, Error::kWorkerLost);
+      this->Settle(task, TaskUpdate::Kind::kLost, {}, Error::kWorkerLost);
     }
   }
 }
@@ -235,9 +239,9 @@
 void TaskTracker::OnWorkerLost(const WorkerId& worker) {
   for (const TaskId& task : this->TasksAt(worker)) {
     Tracked* tracked = this->Find(task);
-    // Its end will not come with a renewal any more.
+    // Its end will no longer be reported with a renewal.
     if (tracked->phase == Phase::kRunning && tracked->plan.detached) {
-      this->CheckAfter(tracked, kFirstPause);
+      this->ScheduleCheck(tracked, kInitialPollDelay);
     }
   }
 }
@@ -250,18 +254,18 @@
   for (const TaskId& task : this->checks.TakeDue(this->parts->context.now)) {
     Tracked* tracked = this->Find(task);
     if (tracked != nullptr) {
-      tracked->asking = false;
-      this->Ask(tracked);
+      tracked->query_pending = false;
+      this->QueryWorker(tracked);
     }
   }
 }
 
-std::vector<TaskNews> TaskTracker::TakeNews() {
-  return std::exchange(this->news, {});
+std::vector<TaskUpdate> TaskTracker::TakeUpdates() {
+  return std::exchange(this->updates, {});
 }
 
-void TaskTracker::CheckAfter(Tracked* tracked, Duration pause) {
-  this->checks.Set(tracked->plan.task, this->parts->context.now + pause);
+void TaskTracker::ScheduleCheck(Tracked* tracked, Duration delay) {
+  this->checks.Set(tracked->plan.task, this->parts->context.now + delay);
 }
 
 void TaskTracker::OnReportedRunning(Tracked* tracked) {
@@ -270,14 +274,14 @@
     return;
   }
   tracked->phase = Phase::kRunning;
-  this->Report(*tracked, TaskNews::Kind::kStarted);
+  this->Report(*tracked, TaskUpdate::Kind::kStarted);
   if (tracked->plan.detached) {
-    this->CheckAfter(tracked, kBackupPause);
+    this->ScheduleCheck(tracked, kDetachedPollInterval);
   }
 }
 
-void TaskTracker::Report(const Tracked& tracked, TaskNews::Kind kind) {
-  TaskNews each;
+void TaskTracker::Report(const Tracked& tracked, TaskUpdate::Kind kind) {
+  TaskUpdate each;
   each.kind = kind;
   each.task = tracked.plan.task;
   each.request = tracked.plan.request;
@@ -285,10 +289,10 @@
   if (tracked.disowned) {
     each.request = RequestId();
   }
-  this->news.push_back(std::move(each));
+  this->updates.push_back(std::move(each));
 }
 
-void TaskTracker::Settle(const TaskId& task, TaskNews::Kind kind,
+void TaskTracker::Settle(const TaskId& task, TaskUpdate::Kind kind,
                          EndedTask ended, std::error_code reason) {
   const auto settled = this->tasks.extract(task);
   if (settled.empty()) {
@@ -297,22 +301,23 @@
   const TaskId& id = settled.key();
   const Tracked& tracked = settled.mapped();
   const TaskPlan& plan = tracked.plan;
-  if (kind == TaskNews::Kind::kEnded) {
+  if (kind == TaskUpdate::Kind::kEnded) {
     this->parts->context.Record(TaskEvent(
         TimelineKind::kTaskEnded, plan.request, id, plan.worker, plan.epoch));
   }
   this->Report(tracked, kind);
-  this->news.back().ended = std::move(ended);
-  this->news.back().reason = reason;
+  this->updates.back().ended = std::move(ended);
+  this->updates.back().reason = reason;
   if (tracked.placed) {
-    const bool ran = kind == TaskNews::Kind::kEnded;
-    this->parts->scheduler.TaskDone(this->parts->context.now,
-                                    &this->parts->ledger, id, ran);
+    const bool ran = kind == TaskUpdate::Kind::kEnded;
+    this->parts->scheduler.OnTaskEnded(this->parts->context.now,
+                                       &this->parts->ledger, id, ran);
   } else {
-    // Failure: the task was followed before its worker was taken over. The
-    // ledger then counted it from the worker's report, and nobody gave its room
-    // back: work waited beside an idle worker. It certainly does not run now.
-    this->parts->ledger.Free(plan.worker, id);
+    // Failure: the task was tracked before this process took its worker over.
+    // The ledger then allocated its resources from the worker's report and
+    // nothing freed them, so work waited while the worker was idle. The task
+    // certainly does not run now.
+    this->parts->ledger.Release(plan.worker, id);
   }
   const auto at = this->by_worker.find(plan.worker);
   at->second.erase(id);
@@ -321,17 +326,17 @@
   }
   this->checks.Clear(id);
   this->parts->consent.Forget(plan.request);
-  this->Remember(id);
+  this->RecordEnded(id);
 }
 
-void TaskTracker::Remember(const TaskId& task) {
-  if (!this->recent.insert(task).second) {
+void TaskTracker::RecordEnded(const TaskId& task) {
+  if (!this->recently_ended.insert(task).second) {
     return;
   }
-  this->recent_order.push_back(task);
-  if (this->recent_order.size() > kRecentTasks) {
-    this->recent.erase(this->recent_order.front());
-    this->recent_order.pop_front();
+  this->recently_ended_order.push_back(task);
+  if (this->recently_ended_order.size() > kRecentTasks) {
+    this->recently_ended.erase(this->recently_ended_order.front());
+    this->recently_ended_order.pop_front();
   }
 }
 
--- a/packages/core/src/lifecycle/worker_flow.cc
+++ b/packages/core/src/lifecycle/worker_flow.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Idle time after which a worker that gets only a share of its work is tried
-/// with all of it.
-constexpr Duration kIdleProbe = std::chrono::seconds(10);
+/// Idle time after which a worker limited to a share of its capacity is opened
+/// fully.
+constexpr Duration kIdleProbeDelay = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -22,8 +22,8 @@
 }
 
 void WorkerFlow::On(const HostListArrived& event) {
-  const std::vector<WorkerId> staying = this->StayingAfterAll(event.workers);
-  this->Remember(event.workers);
+  const std::vector<WorkerId> staying = this->NoLongerLeaving(event.workers);
+  this->UpdateDirectory(event.workers);
   const std::vector<WorkerId> leaving = this->parts->ownership.OnHostList(
       event.workers, this->parts->context.options.self.data_center);
   for (const WorkerId& worker : leaving) {
@@ -31,8 +31,9 @@
     this->parts->context.Record(
         WorkerEvent(TimelineKind::kWorkerLeaving, worker));
   }
-  // Failure: a worker that is still owned when it is called live again is not
-  // attached anew, so nothing would open it, and it would idle for good.
+  // Failure: a worker that is still owned when the host list no longer marks it
+  // as leaving is not attached again. Without this nothing would make it
+  // placeable, and it would stay idle permanently.
   for (const WorkerId& worker : staying) {
     if (this->open.contains(worker)) {
       this->ApplyStanding(worker);
@@ -40,7 +41,7 @@
   }
 }
 
-std::vector<WorkerId> WorkerFlow::StayingAfterAll(
+std::vector<WorkerId> WorkerFlow::NoLongerLeaving(
     const std::vector<WorkerDescription>& workers) const {
   std::vector<WorkerId> staying;
   for (const WorkerDescription& worker : workers) {
@@ -54,7 +55,8 @@
   return staying;
 }
 
-void WorkerFlow::Remember(const std::vector<WorkerDescription>& workers) {
+void WorkerFlow::UpdateDirectory(
+    const std::vector<WorkerDescription>& workers) {
   for (const WorkerDescription& worker : workers) {
     this->directory[worker.id] = worker;
   }
@@ -65,7 +67,7 @@
   const Instant now = this->parts->context.now;
   const bool rebuild = this->parts->ownership.OnAttached(now, report);
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(report.worker);
+      this->parts->ownership.HeldLease(report.worker);
   if (!owned || owned->epoch != report.epoch) {
     return;
   }
@@ -81,38 +83,39 @@
 
 void WorkerFlow::Open(const OwnedWorker& owned, const WorkerReport& report) {
   const WorkerId& worker = report.worker;
-  this->parts->ledger.Open(owned.description, report);
+  this->parts->ledger.AddWorker(owned.description, report);
   this->open.insert(worker);
 
-  this->found.erase(worker);
-  this->CountFound(report);
+  this->foreign_tasks.erase(worker);
+  this->TrackForeignTasks(report);
   this->parts->health.Add(worker);
   this->ApplyStanding(worker);
   this->parts->context.Record(
       WorkerEvent(TimelineKind::kWorkerAttached, worker, owned.epoch));
 }
 
-void WorkerFlow::CountFound(const WorkerReport& report) {
+void WorkerFlow::TrackForeignTasks(const WorkerReport& report) {
   for (const RunningTask& task : report.running) {
-    // A report that was made before the end of a task may arrive after it.
+    // A report created before the end of a task may arrive after it.
     const bool over = this->parts->tasks.EndedRecently(task.task);
-    if (this->parts->tasks.Knows(task.task) || over) {
+    if (this->parts->tasks.IsTracked(task.task) || over) {
       continue;
     }
-    const bool added =
-        this->found[report.worker].emplace(task.task, task.request).second;
+    const bool added = this->foreign_tasks[report.worker]
+                           .emplace(task.task, task.request)
+                           .second;
     if (added) {
-      this->parts->scheduler.TaskFound(
+      this->parts->scheduler.AdoptRunningTask(
           this->parts->context.now, task.task, task.request, task.service,
           this->parts->TeamOf(task.request), report.worker, task.running_for);
-      this->parts->orphan_gangs.OnFound(task.request, task.service);
+      this->parts->orphan_gangs.OnForeignTask(task.request, task.service);
     }
   }
 }
 
-void WorkerFlow::FreeVanished(const WorkerReport& report) {
-  const auto at = this->found.find(report.worker);
-  if (at == this->found.end()) {
+void WorkerFlow::FreeEndedForeignTasks(const WorkerReport& report) {
+  const auto at = this->foreign_tasks.find(report.worker);
+  if (at == this->foreign_tasks.end()) {
     return;
   }
   std::erase_if(at->second, [&](const auto& entry) {
@@ -120,9 +123,9 @@
         report.running,
         [&](const RunningTask& task) { return task.task == entry.first; });
     if (!runs) {
-      this->parts->scheduler.TaskDone(this->parts->context.now,
-                                      &this->parts->ledger, entry.first, true);
-      this->parts->ledger.Free(report.worker, entry.first);
+      this->parts->scheduler.OnTaskEnded(
+          this->parts->context.now, &this->parts->ledger, entry.first, true);
+      this->parts->ledger.Release(report.worker, entry.first);
     }
     return !runs;
   });
@@ -134,15 +137,15 @@
   this->parts->ownership.OnRenewed(now, report);
   this->parts->tasks.OnReport(report);
   const std::optional<OwnedWorker> owned =
-      this->parts->ownership.Held(report.worker);
+      this->parts->ownership.HeldLease(report.worker);
   if (!owned || owned->epoch != report.epoch) {
     return;
   }
   if (this->suspended.contains(report.worker)) {
     this->ApplyStanding(report.worker);
   }
-  this->FreeVanished(report);
-  this->CountFound(report);
+  this->FreeEndedForeignTasks(report);
+  this->TrackForeignTasks(report);
   std::vector<RunningTask> running = report.running;
   std::erase_if(running, [&](const RunningTask& task) {
     return this->parts->tasks.EndedRecently(task.task);
@@ -171,7 +174,8 @@
 
 void WorkerFlow::Suspend(const WorkerId& worker) {
   const bool open = this->parts->ledger.FreeOn(worker).has_value();
-  if (open && !this->parts->ownership.Owned(this->parts->context.now, worker)) {
+  if (open &&
+      !this->parts->ownership.OwnedForStart(this->parts->context.now, worker)) {
     this->parts->ledger.SetPlaceable(worker, false);
     this->suspended.insert(worker);
   }
@@ -187,17 +191,17 @@
 
 void WorkerFlow::Close(const WorkerId& worker) {
   this->open.erase(worker);
-  this->parts->ledger.Close(worker);
+  this->parts->ledger.RemoveWorker(worker);
   this->parts->health.Remove(worker);
   this->capped.erase(worker);
   this->suspended.erase(worker);
-  const auto at = this->found.find(worker);
-  if (at != this->found.end()) {
+  const auto at = this->foreign_tasks.find(worker);
+  if (at != this->foreign_tasks.end()) {
     for (const auto& [task, request] : at->second) {
-      this->parts->scheduler.TaskDone(this->parts->context.now,
-                                      &this->parts->ledger, task, false);
+      this->parts->scheduler.OnTaskEnded(this->parts->context.now,
+                                         &this->parts->ledger, task, false);
     }
-    this->found.erase(at);
+    this->foreign_tasks.erase(at);
   }
   this->parts->tasks.OnWorkerLost(worker);
   this->parts->context.Record(WorkerEvent(TimelineKind::kWorkerLost, worker));
@@ -209,7 +213,7 @@
     const std::size_t first = context.actions->size();
     this->parts->ownership.Tick(context.now, this->parts->membership,
                                 context.actions);
-    this->NoteRenewals(first);
+    this->TrackLeaseActions(first);
   }
   const bool due = this->parts->health.NextWakeup() <= context.now;
   if (due || this->parts->placing.TakeHealthChanged()) {
@@ -220,14 +224,15 @@
   }
 }
 
-void WorkerFlow::NoteRenewals(std::size_t first_action) {
+void WorkerFlow::TrackLeaseActions(std::size_t first_action) {
   const Actions& actions = *this->parts->context.actions;
   for (std::size_t i = first_action; i < actions.size(); ++i) {
     const auto* renew = std::get_if<RenewWorker>(&actions[i]);
     if (renew != nullptr) {
       this->parts->tasks.OnRenewalSent(renew->worker);
     }
-    // A release takes the worker out of placement before it is answered.
+    // A released worker is excluded from placement before the release is
+    // confirmed.
     const auto* release = std::get_if<ReleaseWorker>(&actions[i]);
     if (release != nullptr) {
       this->parts->ledger.SetPlaceable(release->worker, false);
@@ -240,7 +245,7 @@
   const std::size_t first = this->parts->context.actions->size();
   this->parts->ownership.ReleaseAll(this->parts->context.now,
                                     this->parts->context.actions);
-  this->NoteRenewals(first);
+  this->TrackLeaseActions(first);
 }
 
 void WorkerFlow::RenewNow(const WorkerId& worker, const OwnedWorker& owned) {
@@ -260,16 +265,16 @@
 }
 
 bool WorkerFlow::RunsOrphanOf(const RequestId& request) const {
-  return std::ranges::any_of(this->found, [&](const auto& at) {
+  return std::ranges::any_of(this->foreign_tasks, [&](const auto& at) {
     return std::ranges::any_of(
         at.second, [&](const auto& task) { return task.second == request; });
   });
 }
 
 void WorkerFlow::StopOrphansOf(const RequestId& request) {
-  for (const auto& [worker, tasks] : this->found) {
+  for (const auto& [worker, tasks] : this->foreign_tasks) {
     const std::optional<OwnedWorker> owned =
-        this->parts->ownership.Held(worker);
+        this->parts->ownership.HeldLease(worker);
     for (const auto& [task, owner] : tasks) {
       if (owner != request || !owned) {
         continue;
@@ -285,27 +290,27 @@
 }
 
 void WorkerFlow::CloseLost() {
-  // Failure: a release got no answer for so long that the lease counts as
-  // given up. Nothing reports that, and the ledger would go on to show a worker
-  // on which nothing can be started.
+  // Failure: a release was not confirmed before the lease expired. No event
+  // reports this, and the ledger would keep a worker on which nothing can be
+  // started.
   const std::set<WorkerId> counted = this->open;
   for (const WorkerId& worker : counted) {
-    if (!this->parts->ownership.Held(worker)) {
+    if (!this->parts->ownership.HeldLease(worker)) {
       this->Close(worker);
     }
   }
 }
 
 void WorkerFlow::ProbeIdle() {
-  // Failure: a worker that failed everything is kept to a few slots until a
-  // task succeeds there. If all that waits are gangs, which need more slots,
-  // nothing is ever tried on it and they wait for ever. An idle worker is
-  // opened wholly after a while.
+  // Failure: a worker on which all tasks failed is limited to a few slots until
+  // a task succeeds there. If only gangs that need more slots are queued, no
+  // task is ever placed on it and they wait forever. So an idle worker is
+  // opened fully after a delay.
   const Instant now = this->parts->context.now;
   for (auto& [worker, idle_since] : this->capped) {
     if (!this->parts->tasks.IdleAt(worker)) {
       idle_since = now;
-    } else if (now - idle_since >= kIdleProbe) {
+    } else if (now - idle_since >= kIdleProbeDelay) {
       this->parts->ledger.SetPlaceable(worker, true, 1.0);
       idle_since = now;
     }
@@ -314,11 +319,11 @@
 
 void WorkerFlow::ApplyStanding(const WorkerId& worker) {
   CoreContext& context = this->parts->context;
-  const WorkerStanding standing =
-      this->parts->health.Standing(context.now, worker);
-  // Not owned in this sense: leaving, or it did not answer lately.
+  const WorkerAvailability standing =
+      this->parts->health.Availability(context.now, worker);
+  // A worker that is leaving or did not answer recently is not usable.
   const bool usable =
-      this->parts->ownership.Owned(context.now, worker).has_value();
+      this->parts->ownership.OwnedForStart(context.now, worker).has_value();
   this->parts->ledger.SetPlaceable(worker, standing.placeable && usable,
                                    standing.share);
   if (usable) {
--- a/packages/core/src/membership.cc
+++ b/packages/core/src/membership.cc
@@ -14,17 +14,19 @@
 
 namespace {
 
-/// A peer that did not introduce itself in the settings is taken on up to this
-/// many in all, so that strangers can not fill the memory.
+/// Maximum number of peers. Peers that are not listed in the settings are added
+/// only up to this number, so that unknown senders cannot exhaust the memory.
 constexpr std::size_t kMaxPeers = 256;
 /// A starting process waits this long for members that do not answer.
-constexpr Duration kSettleTime = std::chrono::seconds(1);
-/// The local interval stretches no further: 8 members fit their budget with
-/// it, more members take more bytes, and a dead one is still found in time.
+constexpr Duration kDiscoveryTimeout = std::chrono::seconds(1);
+/// Upper bound of the local interval: 8 members stay within their budget at
+/// this interval. More members use more bytes, and a failed member is still
+/// detected in time.
 constexpr Duration kMaxLocalInterval = std::chrono::milliseconds(2500);
 constexpr Duration kMaxRemoteInterval = std::chrono::seconds(10);
-/// Heartbeats to a gone peer, in the intervals of a live one.
-constexpr std::int32_t kGoneFactor = 4;
+/// Interval of heartbeats to a lost peer, as a multiple of the interval for a
+/// live one.
+constexpr std::int32_t kLostPeerIntervalFactor = 4;
 
 }  // namespace
 
@@ -42,19 +44,19 @@
   const Duration paced_local = detail::PacedInterval(
       limits.heartbeat_interval, local, detail::kHeartbeatBytes,
       limits.local_bytes_per_second);
-  this->quiet_local = std::min(
+  this->idle_local_interval = std::min(
       paced_local, std::max(kMaxLocalInterval, limits.heartbeat_interval));
   const Duration paced_remote = detail::PacedInterval(
       limits.remote_heartbeat_interval,
       static_cast<std::int64_t>(data_centers.size()), detail::kHeartbeatBytes,
       limits.remote_bytes_per_second);
-  this->quiet_remote =
+  this->idle_remote_interval =
       std::min(paced_remote,
                std::max(kMaxRemoteInterval, limits.remote_heartbeat_interval));
 }
 
-Duration Membership::State::QuietInterval(bool local) const {
-  return local ? this->quiet_local : this->quiet_remote;
+Duration Membership::State::IdleInterval(bool local) const {
+  return local ? this->idle_local_interval : this->idle_remote_interval;
 }
 
 Duration Membership::State::RetryInterval(bool local) const {
@@ -63,39 +65,41 @@
 }
 
 Duration Membership::State::Interval(const Peer& peer) const {
-  if (!peer.local) return this->QuietInterval(false);
-  // While requests wait, digests must be fresh for forwarding; their bytes are
-  // then few beside the traffic.
-  const bool pressed =
+  if (!peer.local) return this->IdleInterval(false);
+  // While requests are queued, forwarding needs recent digests; their bytes are
+  // then negligible compared with the traffic.
+  const bool queueing =
       this->own.queued > 0 || (peer.digest && peer.digest->queued > 0);
-  return pressed ? this->options.heartbeat_interval : this->QuietInterval(true);
+  return queueing ? this->options.heartbeat_interval : this->IdleInterval(true);
 }
 
 Duration Membership::State::SilenceLimit(const Peer& peer) const {
-  // The first missed heartbeat comes a whole interval after the last one; the
-  // ones that follow an unanswered one go out at the short interval.
+  // The first missed heartbeat is sent a full interval after the last one;
+  // those that follow an unanswered one are sent at the retry interval.
   const Duration retry = this->RetryInterval(peer.local);
-  return this->QuietInterval(peer.local) +
+  return this->IdleInterval(peer.local) +
          retry * (this->options.missed_heartbeats - 1);
 }
 
-Instant Membership::State::SendDue(const Peer& peer) const {
+Instant Membership::State::NextHeartbeatDue(const Peer& peer) const {
   const Duration retry = this->RetryInterval(peer.local);
   const bool never_tried = !peer.digest && peer.unanswered == 0;
   if (never_tried) return Instant();
   if (!peer.alive) {
     const bool given_up =
         peer.digest || peer.unanswered > this->options.missed_heartbeats;
-    return peer.sent + (given_up ? this->Interval(peer) * kGoneFactor : retry);
+    return peer.sent +
+           (given_up ? this->Interval(peer) * kLostPeerIntervalFactor : retry);
   }
-  // Calls that fail at once, as after a crash, are repeated faster, so that the
-  // workers of a crashed process are taken over sooner.
+  // Calls that fail immediately, as after a crash, are retried faster, so that
+  // the workers of a crashed process are taken over sooner.
   if (peer.unreachable > 0) return peer.sent + retry / 2;
   if (peer.unanswered > 0) return peer.sent + retry;
   const Instant exchanged = std::max(peer.sent, peer.heard);
-  if (this->news_since > exchanged) return exchanged + retry / 4;
-  // An exchange shows each side the other's digest, so one per pair is enough:
-  // the side with the lower name begins, the other one only when it does not.
+  if (this->urgent_change_since > exchanged) return exchanged + retry / 4;
+  // An exchange shows each side the other's digest, so one exchange per pair is
+  // enough: the side with the lower name initiates it, and the other side only
+  // if that one does not.
   const bool begins = this->self.process < peer.description.process;
   return exchanged + this->Interval(peer) + (begins ? Duration(0) : retry / 2);
 }
@@ -124,8 +128,8 @@
 Peer* Membership::State::Add(PeerDescription description) {
   Peer peer;
   peer.local = description.data_center == this->self.data_center;
-  // The same from both ends, so that two processes mostly choose each other and
-  // one exchange serves both.
+  // Computed identically on both sides, so that two processes usually choose
+  // each other and one exchange serves both.
   const auto& [low, high] =
       std::minmax(this->self.process, description.process);
   peer.link_weight = detail::RendezvousWeight(low.Text(), high.Text());
@@ -155,11 +159,11 @@
       });
 }
 
-void Membership::State::ForgiveOwnPause(Instant now) {
-  // Failure: this process was stopped for a while. At its return all peers seem
-  // to have been silent, and it would take over the whole data centre. It shows
-  // as a wake-up that comes late; then each peer gets the time of two more
-  // heartbeats to answer before it counts as gone.
+void Membership::State::CompensateOwnPause(Instant now) {
+  // Failure: after this process was suspended, all peers seem to have been
+  // silent, and it would take over all workers of the data centre. A suspension
+  // shows as a late wake-up; each peer then gets the time of two more
+  // heartbeats to answer before it is considered lost.
   if (!this->started || now <= this->next_wakeup) return;
   const bool paused =
       now - this->next_wakeup >= this->options.heartbeat_interval;
@@ -172,30 +176,31 @@
   }
 }
 
-bool Membership::State::NoteNews(Instant now, const Digest& own) {
+bool Membership::State::RecordDigestChange(Instant now, const Digest& own) {
   const Digest& former = this->own;
   const bool urgent =
       former.configuration_version != own.configuration_version ||
       former.stopping != own.stopping ||
       former.platform_reachable != own.platform_reachable ||
       former.journals != own.journals;
-  const bool pressed = (former.queued > 0) != (own.queued > 0);
-  if (urgent) this->news_since = now;
-  return urgent || pressed;
+  const bool queueing = (former.queued > 0) != (own.queued > 0);
+  if (urgent) this->urgent_change_since = now;
+  return urgent || queueing;
 }
 
-void Membership::State::DropSilent(Instant now) {
-  this->ForgiveOwnPause(now);
+void Membership::State::ExpireSilentPeers(Instant now) {
+  this->CompensateOwnPause(now);
   bool changed = false;
   for (auto& [id, peer] : this->peers) {
     if (!peer.alive) continue;
     const bool silent = now - peer.heard >= this->SilenceLimit(peer);
     if (!silent && peer.unreachable < this->options.missed_heartbeats) continue;
     peer.alive = false;
-    // A process of another data centre that no longer talks to us has perhaps
-    // only chosen another link; no loss is reported then.
+    // A process of another data centre that no longer sends heartbeats may only
+    // have chosen another peer to talk to, so its loss is reported only if it
+    // left a heartbeat unanswered.
     peer.lost = peer.local || peer.unanswered > 0;
-    peer.promises.clear();
+    peer.reservations.clear();
     changed = true;
   }
   if (changed) this->RebuildLocalMembers();
@@ -208,7 +213,8 @@
     const bool counts = peer.local && peer.alive && !peer.digest->stopping;
     if (counts) members.push_back(id);
   }
-  // Somebody must stand in the list: a process that stops alone names itself.
+  // The list must not be empty: a process that shuts down as the only member
+  // lists itself.
   if (members.empty()) members.push_back(this->self.process);
   std::ranges::sort(members);
   if (members == this->local_members) return;
@@ -234,38 +240,40 @@
 Membership& Membership::operator=(Membership&&) noexcept = default;
 
 void Membership::Tick(Instant now, const Digest& own, Actions* actions) {
-  State& all = *this->state;
-  const bool first = !all.started;
-  if (first) all.started = now;
-  const bool changed = all.NoteNews(now, own);
-  if (!first && !changed && now < all.next_wakeup) return;
-  all.DropSilent(now);
-  const bool was_stopping = all.own.stopping;
-  all.own = own;
-  if (was_stopping != own.stopping) all.RebuildLocalMembers();
-  all.next_wakeup = now + all.options.heartbeat_interval;
-  for (Peer* peer : all.LinkedPeers()) {
-    if (all.SendDue(*peer) <= now) {
+  State& state = *this->state;
+  const bool first = !state.started;
+  if (first) state.started = now;
+  const bool changed = state.RecordDigestChange(now, own);
+  if (!first && !changed && now < state.next_wakeup) return;
+  state.ExpireSilentPeers(now);
+  const bool was_stopping = state.own.stopping;
+  state.own = own;
+  if (was_stopping != own.stopping) state.RebuildLocalMembers();
+  state.next_wakeup = now + state.options.heartbeat_interval;
+  for (Peer* peer : state.LinkedPeers()) {
+    if (state.NextHeartbeatDue(*peer) <= now) {
       actions->push_back(SendDigest{peer->description.process, own});
       peer->sent = now;
       ++peer->unanswered;
     }
-    all.next_wakeup = std::min(all.next_wakeup, all.SendDue(*peer));
+    state.next_wakeup =
+        std::min(state.next_wakeup, state.NextHeartbeatDue(*peer));
   }
 }
 
 bool Membership::OnDigest(Instant now, const Digest& digest) {
-  State& all = *this->state;
-  if (digest.process == all.self.process) return false;
-  Peer* peer = all.FindOrAdd(digest);
+  State& state = *this->state;
+  if (digest.process == state.self.process) return false;
+  Peer* peer = state.FindOrAdd(digest);
   if (peer == nullptr) return false;
-  // A digest from before a restart may arrive after one from after it.
+  // A delayed digest from before a restart may arrive after one from after it.
   if (peer->former_incarnation == digest.incarnation) return false;
   const bool restarted =
       peer->digest && peer->digest->incarnation != digest.incarnation;
   if (restarted) peer->former_incarnation = peer->digest->incarnation;
   const bool joined = !peer->alive || restarted;
-  const bool moved = joined || peer->digest->stopping != digest.stopping;
+  const bool members_changed =
+      joined || peer->digest->stopping != digest.stopping;
   peer->alive = true;
   if (joined) peer->lost = false;
   peer->heard = now;
@@ -273,22 +281,23 @@
   peer->unanswered = 0;
   peer->unreachable = 0;
   peer->digest = digest;
-  detail::DropSeenPromises(now, restarted, &peer->promises);
-  if (moved) all.RebuildLocalMembers();
+  detail::DropSeenReservations(now, restarted, &peer->reservations);
+  if (members_changed) state.RebuildLocalMembers();
   return joined;
 }
 
 void Membership::OnUnreachable(Instant now, const ProcessId& peer) {
-  State& all = *this->state;
-  const auto found = all.peers.find(peer);
-  if (found == all.peers.end() || found->second.unanswered == 0) return;
+  State& state = *this->state;
+  const auto found = state.peers.find(peer);
+  if (found == state.peers.end() || found->second.unanswered == 0) return;
   ++found->second.unreachable;
-  all.DropSilent(now);
-  all.next_wakeup = std::min(all.next_wakeup, all.SendDue(found->second));
+  state.ExpireSilentPeers(now);
+  state.next_wakeup =
+      std::min(state.next_wakeup, state.NextHeartbeatDue(found->second));
 }
 
-std::vector<ProcessId> Membership::TakeLost(Instant now) {
-  this->state->DropSilent(now);
+std::vector<ProcessId> Membership::TakeLostPeers(Instant now) {
+  this->state->ExpireSilentPeers(now);
   std::vector<ProcessId> lost;
   for (auto& [id, peer] : this->state->peers) {
     if (peer.lost) lost.push_back(id);
@@ -301,8 +310,9 @@
 
 std::uint64_t Membership::Generation() const { return this->state->generation; }
 
-bool Membership::Settled(Instant now) const {
-  if (this->state->started && now - *this->state->started >= kSettleTime) {
+bool Membership::DiscoveryComplete(Instant now) const {
+  if (this->state->started &&
+      now - *this->state->started >= kDiscoveryTimeout) {
     return true;
   }
   return std::ranges::all_of(this->state->peers, [](const auto& entry) {
@@ -324,18 +334,20 @@
   return this->state->HighestWeight(rack.Text());
 }
 
-bool Membership::KeepsWatch() const {
-  // The first member that reaches the platform. If none does, the first of all
-  // keeps trying, so that the outage costs one caller per data centre.
-  const State& all = *this->state;
-  const auto reaches = [&all](const ProcessId& member) {
-    if (member == all.self.process) return all.own.platform_reachable;
-    return all.Find(member)->digest->platform_reachable;
+bool Membership::IsConfigurationWatcher() const {
+  // The first member that reaches the platform watches the configuration. If
+  // none does, the first member keeps trying, so that an outage causes calls
+  // from only one process per data centre.
+  const State& state = *this->state;
+  const auto reaches = [&state](const ProcessId& member) {
+    if (member == state.self.process) return state.own.platform_reachable;
+    return state.Find(member)->digest->platform_reachable;
   };
-  const auto keeper = std::ranges::find_if(all.local_members, reaches);
-  const ProcessId& chosen =
-      keeper == all.local_members.end() ? all.local_members.front() : *keeper;
-  return chosen == all.self.process;
+  const auto watcher = std::ranges::find_if(state.local_members, reaches);
+  const ProcessId& chosen = watcher == state.local_members.end()
+                                ? state.local_members.front()
+                                : *watcher;
+  return chosen == state.self.process;
 }
 
 std::optional<Digest> Membership::LastDigest(const ProcessId& peer) const {
--- a/packages/core/src/ownership.cc
+++ b/packages/core/src/ownership.cc
@@ -10,25 +10,27 @@
 
 using detail::Lease;
 using detail::LeasePhase;
-using detail::OrphanWatch;
+using detail::OrphanDetector;
 
 namespace {
 
-/// First and longest pause before a stand-in offers its worker.
-constexpr Duration kFirstOffer = std::chrono::minutes(2);
-constexpr Duration kLongestOffer = std::chrono::minutes(10);
-/// Renewals of an idle worker are never further apart.
-constexpr Duration kMaxInterval = std::chrono::minutes(5);
-/// Failures in a row after which no start is sent.
-constexpr std::int32_t kUnreachableToSuspend = 2;
-/// Doublings after which a pause has surely reached its limit.
+/// First and longest delay before a substitute owner hands a worker back.
+constexpr Duration kFirstHandBackDelay = std::chrono::minutes(2);
+constexpr Duration kMaxHandBackDelay = std::chrono::minutes(10);
+/// Maximum interval between renewals of an idle worker.
+constexpr Duration kMaxRenewalInterval = std::chrono::minutes(5);
+/// Number of consecutive unanswered calls after which no start is sent.
+constexpr std::int32_t kUnreachableCallsToSuspend = 2;
+/// Number of doublings after which a delay has always reached its limit.
 constexpr std::int32_t kMaxDoublings = 16;
-/// Time until a starting process asks again whether its members have settled.
-constexpr Duration kSettleCheck = std::chrono::milliseconds(100);
-/// A call that was reported unreachable may still be answered for so long.
-constexpr Duration kLateAnswer = std::chrono::seconds(5);
-/// Longest time for which a refused attach is put off; as long as the usual
-/// lease, so that it adds no calls there.
+/// Interval at which a starting process checks whether the discovery of its
+/// members is complete.
+constexpr Duration kDiscoveryCheckInterval = std::chrono::milliseconds(100);
+/// Time for which a call that was reported as unreachable may still be
+/// answered.
+constexpr Duration kLateAnswerWindow = std::chrono::seconds(5);
+/// Maximum delay of an attach after a refusal; equal to the default lease, so
+/// that it causes no additional calls with that lease.
 constexpr Duration kEarlyReleaseInterval = std::chrono::seconds(3);
 
 }  // namespace
@@ -43,18 +45,18 @@
   return found == this->index.end() ? nullptr : &this->leases[found->second];
 }
 
-Duration Ownership::State::Jitter(Duration most) {
+Duration Ownership::State::Jitter(Duration max_delay) {
   this->random += 0x9e3779b97f4a7c15ULL;
   const std::uint64_t drawn = detail::MixBits(this->random);
-  const auto range = static_cast<std::uint64_t>(most.count()) + 1;
+  const auto range = static_cast<std::uint64_t>(max_delay.count()) + 1;
   return Duration(static_cast<std::int64_t>(drawn % range));
 }
 
-Duration Ownership::State::BackOff(std::int32_t times, Duration most) {
+Duration Ownership::State::RetryDelay(std::int32_t times, Duration max_delay) {
   Duration pause = this->options.retry_interval;
   const std::int32_t doublings = std::clamp(times, 0, kMaxDoublings);
-  for (std::int32_t i = 0; i < doublings && pause < most; ++i) pause *= 2;
-  pause = std::min(pause, most);
+  for (std::int32_t i = 0; i < doublings && pause < max_delay; ++i) pause *= 2;
+  pause = std::min(pause, max_delay);
   return pause / 2 + this->Jitter(pause / 2);
 }
 
@@ -69,26 +71,30 @@
   lease->phase = phase;
 }
 
-Instant Ownership::State::TakeSent(Instant now, Lease* lease) {
-  // Failure: a call is reported unreachable, the next one is sent, and then the
-  // first one's answer arrives. Taken for the answer to the second call, it
-  // would make the lease look longer than it is. Answers do not say which call
-  // they belong to, so each is taken for the oldest that may still be answered.
+Instant Ownership::State::CompleteCall(Instant now, Lease* lease) {
+  // Failure: a call is reported as unreachable, the next one is sent, and then
+  // the answer to the first call arrives. If it were matched to the second
+  // call, the lease would appear longer than it is. Answers do not identify
+  // their call, so each one is matched to the oldest call that may still be
+  // answered.
   Instant sent = lease->sent;
-  const bool doubt = lease->doubted && now - *lease->doubted < kLateAnswer;
-  if (doubt) sent = std::min(sent, *lease->doubted);
-  const bool other_open = doubt && lease->in_flight;
-  lease->doubted.reset();
-  if (other_open) lease->doubted = lease->sent;
+  const bool has_unresolved =
+      lease->oldest_unresolved &&
+      now - *lease->oldest_unresolved < kLateAnswerWindow;
+  if (has_unresolved) sent = std::min(sent, *lease->oldest_unresolved);
+  const bool other_open = has_unresolved && lease->in_flight;
+  lease->oldest_unresolved.reset();
+  if (other_open) lease->oldest_unresolved = lease->sent;
   lease->in_flight = false;
   return sent;
 }
 
-void Ownership::State::TakeReport(Instant sent, const WorkerReport& report,
-                                  Lease* lease) {
-  // Failure: a busy worker's reports name what runs and never what ended, since
-  // those answers came with their starts. The interval would grow as for long
-  // tasks, and the end of a short detached one be learnt seconds late.
+void Ownership::State::ApplyReport(Instant sent, const WorkerReport& report,
+                                   Lease* lease) {
+  // Failure: the reports of a busy worker list running tasks but no ended ones,
+  // because those answers arrived with their starts. The interval would grow as
+  // for long tasks, and the end of a short detached task would be learned
+  // seconds late.
   const bool started = lease->start_sent >= lease->granted;
   lease->granted = sent;
   lease->unreachable = 0;
@@ -96,32 +102,33 @@
   lease->incarnation = report.incarnation;
   lease->ended_sequence = report.ended_sequence;
   const bool was_active = lease->active;
-  // A start that was sent after the call may be missing in its report.
+  // A start sent after the call may be missing from its report.
   lease->active = !report.running.empty() || lease->start_sent >= sent;
   lease->long_tasks =
       std::ranges::any_of(report.running, [this](const RunningTask& task) {
         return task.running_for >= this->options.renew_interval;
       });
-  const bool news =
+  const bool new_activity =
       started || !report.ended.empty() || (lease->active && !was_active);
-  // Growing slowly keeps the delay of a task's end in proportion to its run.
+  // Slow growth keeps the delay in learning the end of a task proportional to
+  // its run time.
   lease->interval =
-      news ? this->options.renew_interval : lease->interval * 3 / 2;
-  lease->interval =
-      std::clamp(lease->interval, this->options.renew_interval, kMaxInterval);
+      new_activity ? this->options.renew_interval : lease->interval * 3 / 2;
+  lease->interval = std::clamp(lease->interval, this->options.renew_interval,
+                               kMaxRenewalInterval);
 }
 
-void Ownership::State::Lose(Instant now, Lease* lease) {
-  lease->not_before = std::max(lease->not_before, now);
+void Ownership::State::MarkLost(Instant now, Lease* lease) {
+  lease->call_not_before = std::max(lease->call_not_before, now);
   lease->active = false;
   this->SetPhase(lease, LeasePhase::kNone);
 }
 
-void Ownership::State::NoteActivity(Instant now, Lease* lease) {
+void Ownership::State::MarkActive(Instant now, Lease* lease) {
   if (lease->phase != LeasePhase::kOwned || lease->active) return;
   lease->active = true;
   lease->interval = this->options.renew_interval;
-  this->Plan(now, *lease);
+  this->ScheduleNext(now, *lease);
 }
 
 Ownership::Ownership(OwnershipOptions options, std::uint64_t seed)
@@ -137,189 +144,198 @@
 std::vector<WorkerId> Ownership::OnHostList(
     std::span<const WorkerDescription> workers,
     const DataCenterId& data_center) {
-  State& all = *this->state;
+  State& state = *this->state;
   std::vector<WorkerId> leaving;
   for (const WorkerDescription& worker : workers) {
     if (worker.data_center != data_center) continue;
-    Lease* known = all.Find(worker.id);
+    Lease* known = state.Find(worker.id);
     if (known != nullptr && known->description == worker) continue;
     const bool was_leaving = known != nullptr && known->description.leaving;
     if (worker.leaving && !was_leaving) leaving.push_back(worker.id);
     if (known == nullptr) {
-      all.index.emplace(worker.id, all.leases.size());
-      known = &all.leases.emplace_back();
+      state.index.emplace(worker.id, state.leases.size());
+      known = &state.leases.emplace_back();
     }
     known->description = worker;
-    all.replan = true;
+    state.reschedule = true;
   }
   return leaving;
 }
 
 void Ownership::Tick(Instant now, const Membership& membership,
                      Actions* actions) {
-  State& all = *this->state;
-  all.self = membership.Self();
-  all.settled = all.settled || membership.Settled(now);
-  if (!all.settled) {
-    all.next_check = now + kSettleCheck;
+  State& state = *this->state;
+  state.self = membership.Self();
+  state.discovery_complete =
+      state.discovery_complete || membership.DiscoveryComplete(now);
+  if (!state.discovery_complete) {
+    state.next_check = now + kDiscoveryCheckInterval;
     return;
   }
-  if (all.replan || all.generation != membership.Generation()) {
-    all.Replan(now, membership);
+  if (state.reschedule || state.generation != membership.Generation()) {
+    state.RescheduleAll(now, membership);
   }
-  if (now >= all.next_check) all.CheckOrphans(now, membership);
-  while (const std::optional<std::size_t> due = all.timers.TakeDue(now)) {
-    all.Act(now, &all.leases[*due], actions);
+  if (now >= state.next_check) state.CheckOrphans(now, membership);
+  while (const std::optional<std::size_t> due = state.timers.TakeDue(now)) {
+    state.RunDueAction(now, &state.leases[*due], actions);
   }
 }
 
 void Ownership::ReleaseAll(Instant now, Actions* actions) {
-  State& all = *this->state;
-  all.stopped = true;
-  for (Lease& lease : all.leases) {
-    if (lease.phase == LeasePhase::kOwned) all.Release(now, &lease, actions);
-    all.Plan(now, lease);
+  State& state = *this->state;
+  state.stopped = true;
+  for (Lease& lease : state.leases) {
+    if (lease.phase == LeasePhase::kOwned) state.Release(now, &lease, actions);
+    state.ScheduleNext(now, lease);
   }
 }
 
 bool Ownership::OnAttached(Instant now, const WorkerReport& report) {
-  State& all = *this->state;
-  Lease* lease = all.Find(report.worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(report.worker);
   if (lease == nullptr || report.epoch != lease->epoch) return false;
   if (lease->phase == LeasePhase::kOwned) {
     return report.incarnation != lease->incarnation;
   }
-  // An answer that comes after its call was given up on is dropped; the next
+  // An answer that arrives after its call was abandoned is discarded; the next
   // attach repeats the epoch and is accepted again.
   if (lease->phase != LeasePhase::kAttaching) return false;
-  const Instant sent = all.TakeSent(now, lease);
-  all.SetPhase(lease, LeasePhase::kOwned);
+  const Instant sent = state.CompleteCall(now, lease);
+  state.SetPhase(lease, LeasePhase::kOwned);
   lease->highest = lease->epoch;
   lease->sent = sent;
-  all.TakeReport(sent, report, lease);
-  lease->interval = all.options.renew_interval;
-  if (lease->stand_in) {
-    lease->offer_pause =
-        std::clamp(lease->offer_pause * 2, kFirstOffer, kLongestOffer);
-    lease->offer_at = now + lease->offer_pause;
+  state.ApplyReport(sent, report, lease);
+  lease->interval = state.options.renew_interval;
+  if (lease->substitute) {
+    lease->hand_back_delay = std::clamp(lease->hand_back_delay * 2,
+                                        kFirstHandBackDelay, kMaxHandBackDelay);
+    lease->hand_back_at = now + lease->hand_back_delay;
   }
-  all.Plan(now, *lease);
-  return !all.stopped;
+  state.ScheduleNext(now, *lease);
+  return !state.stopped;
 }
 
 void Ownership::OnRenewed(Instant now, const WorkerReport& report) {
-  State& all = *this->state;
-  Lease* lease = all.Find(report.worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(report.worker);
   if (lease == nullptr || report.epoch != lease->epoch) return;
   if (lease->phase != LeasePhase::kOwned) return;
-  const Instant sent = all.TakeSent(now, lease);
-  all.TakeReport(sent, report, lease);
-  all.Plan(now, *lease);
+  const Instant sent = state.CompleteCall(now, lease);
+  state.ApplyReport(sent, report, lease);
+  state.ScheduleNext(now, *lease);
 }
 
 bool Ownership::OnRefused(Instant now, const WorkerRefused& refused) {
-  State& all = *this->state;
-  Lease* lease = all.Find(refused.worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(refused.worker);
   if (lease == nullptr || refused.epoch != lease->epoch) return false;
   if (lease->phase == LeasePhase::kNone) return false;
-  const bool had = lease->phase != LeasePhase::kAttaching;
-  const bool ours =
-      refused.holder == all.self && refused.highest == lease->epoch;
-  // A stop of a task that is gone is refused although the lease stands.
-  if (lease->phase == LeasePhase::kOwned && ours) return false;
+  const bool had_lease = lease->phase != LeasePhase::kAttaching;
+  const bool is_own_lease =
+      refused.holder == state.self && refused.highest == lease->epoch;
+  // A worker refuses to stop a task that is gone, although the lease is valid.
+  if (lease->phase == LeasePhase::kOwned && is_own_lease) return false;
   lease->in_flight = false;
   lease->unreachable = 0;
-  // A worker that was restarted has forgotten its epochs. Ours go on growing,
-  // or a start from before the restart could match the new lease.
+  // A restarted worker has forgotten its epochs. The epochs of this process
+  // keep growing; otherwise a start from before the restart could match the new
+  // lease.
   lease->highest = std::max(lease->highest, refused.highest);
-  const bool taken = lease->phase == LeasePhase::kOwned &&
-                     all.Preferred(*lease) && refused.highest > lease->epoch;
-  lease->contested = lease->contested || taken;
-  // The first refusal only tells the epoch, so the next attach may follow at
-  // once; after that two processes may be racing for the worker.
+  const bool taken_by_other = lease->phase == LeasePhase::kOwned &&
+                              state.Preferred(*lease) &&
+                              refused.highest > lease->epoch;
+  lease->contested = lease->contested || taken_by_other;
+  // The first refusal only reveals the epoch, so the next attach may follow
+  // immediately; after that, two processes may be competing for the worker.
   const bool free = refused.lease_left <= Duration(0);
   const bool first = lease->refusals++ == 0;
-  const Duration pause = all.BackOff(lease->refusals - 1, all.options.lease);
-  // Failure: a process in a graceful stop releases its workers long before the
-  // lease runs out, and its successor, refused once before that, would leave
-  // them idle for the rest of the lease. So a long lease is asked about again.
+  const Duration pause =
+      state.RetryDelay(lease->refusals - 1, state.options.lease);
+  // Failure: a process that shuts down gracefully releases its workers long
+  // before their leases end. Its successor, refused once before the release,
+  // would leave them idle for the rest of the lease. A worker with a long
+  // remaining lease is therefore asked again earlier.
   const Duration wait = std::min(refused.lease_left, kEarlyReleaseInterval);
-  lease->not_before = now + wait + (free && first ? Duration(0) : pause);
-  // A worker that has an owner after all is left alone.
-  if (!free && !all.Preferred(*lease)) {
-    lease->not_before = now + OrphanWatch::kWindow;
+  lease->call_not_before = now + wait + (free && first ? Duration(0) : pause);
+  // The worker turned out to have an owner, so this process does not compete
+  // for it.
+  if (!free && !state.Preferred(*lease)) {
+    lease->call_not_before = now + OrphanDetector::kAttachWindow;
   }
-  if (had) {
-    all.Lose(now, lease);
+  if (had_lease) {
+    state.MarkLost(now, lease);
   } else {
-    all.SetPhase(lease, LeasePhase::kNone);
+    state.SetPhase(lease, LeasePhase::kNone);
   }
-  all.Plan(now, *lease);
-  return had;
+  state.ScheduleNext(now, *lease);
+  return had_lease;
 }
 
 bool Ownership::OnUnreachable(Instant now, const WorkerId& worker) {
-  State& all = *this->state;
-  Lease* lease = all.Find(worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(worker);
   if (lease == nullptr || lease->phase == LeasePhase::kNone) return false;
-  if (lease->in_flight && !lease->doubted) lease->doubted = lease->sent;
+  if (lease->in_flight && !lease->oldest_unresolved) {
+    lease->oldest_unresolved = lease->sent;
+  }
   if (lease->unreachable == 0) {
-    lease->silent_since = lease->in_flight ? lease->sent : now;
+    lease->unreachable_since = lease->in_flight ? lease->sent : now;
   }
   lease->in_flight = false;
   ++lease->unreachable;
-  const Duration most = all.options.max_unreachable_interval;
-  const Duration pause = all.BackOff(lease->unreachable - 1, most);
-  lease->not_before = std::max(lease->not_before, now + pause);
-  // Nothing that reached the worker before the silence can have kept its lease
-  // in force for longer than this. One lost call is no loss: starts renew the
-  // lease too, and an idle one may have lapsed long ago without harm.
-  const bool lapsed = now >= lease->silent_since + all.options.lease;
+  const Duration max_delay = state.options.max_unreachable_interval;
+  const Duration pause = state.RetryDelay(lease->unreachable - 1, max_delay);
+  lease->call_not_before = std::max(lease->call_not_before, now + pause);
+  // No call that reached the worker before it stopped answering can have
+  // extended its lease beyond this time. A single lost call does not count as a
+  // loss: starts renew the lease too, and the lease of an idle worker may have
+  // expired long ago without harm.
+  const bool lapsed = now >= lease->unreachable_since + state.options.lease;
   const bool releasing = lease->phase == LeasePhase::kReleasing;
   const bool lost = releasing || (lease->phase == LeasePhase::kOwned && lapsed);
   if (lost) {
-    all.Lose(now, lease);
+    state.MarkLost(now, lease);
   } else if (lease->phase == LeasePhase::kAttaching) {
-    all.SetPhase(lease, LeasePhase::kNone);
+    state.SetPhase(lease, LeasePhase::kNone);
   }
-  all.Plan(now, *lease);
+  state.ScheduleNext(now, *lease);
   return lost;
 }
 
 void Ownership::OnReleased(Instant now, const WorkerId& worker) {
-  State& all = *this->state;
-  Lease* lease = all.Find(worker);
+  State& state = *this->state;
+  Lease* lease = state.Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kReleasing) return;
   lease->in_flight = false;
-  all.Lose(now, lease);
-  all.Plan(now, *lease);
+  state.MarkLost(now, lease);
+  state.ScheduleNext(now, *lease);
 }
 
 void Ownership::OnStartSent(Instant now, const WorkerId& worker) {
-  this->state->starts_told = true;
+  this->state->starts_reported = true;
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr) return;
   lease->start_sent = now;
-  this->state->NoteActivity(now, lease);
+  this->state->MarkActive(now, lease);
 }
 
 void Ownership::OnStartRefused(Instant now, const WorkerId& worker) {
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kOwned) return;
   lease->interval = Duration(0);
-  this->state->Plan(now, *lease);
+  this->state->ScheduleNext(now, *lease);
 }
 
-void Ownership::OnTraffic(Instant now, const WorkerId& worker) {
+void Ownership::OnStartAnswered(Instant now, const WorkerId& worker) {
   Lease* lease = this->state->Find(worker);
   if (lease == nullptr) return;
-  lease->traffic = now;
-  // The timer is not set back here, as this is the path of each answer; when it
-  // runs out, the renewal is found not due yet.
-  this->state->NoteActivity(now, lease);
+  lease->start_answered = now;
+  // The timer is not reset here, because this runs for every answer; when it
+  // expires, the renewal is found not to be due yet.
+  this->state->MarkActive(now, lease);
 }
 
-std::optional<OwnedWorker> Ownership::Held(const WorkerId& worker) const {
+std::optional<OwnedWorker> Ownership::HeldLease(const WorkerId& worker) const {
   const Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->phase != LeasePhase::kOwned) {
     return std::nullopt;
@@ -327,21 +343,21 @@
   return OwnedWorker{lease->description, lease->epoch, lease->incarnation};
 }
 
-std::optional<OwnedWorker> Ownership::Owned(Instant now,
-                                            const WorkerId& worker) const {
+std::optional<OwnedWorker> Ownership::OwnedForStart(
+    Instant now, const WorkerId& worker) const {
   const Lease* lease = this->state->Find(worker);
   if (lease == nullptr || lease->description.leaving) return std::nullopt;
-  if (lease->unreachable >= kUnreachableToSuspend) return std::nullopt;
-  // Failure: this process was stopped past the end of its lease, and another
-  // one has attached since. The worker refuses the old epoch. Where it does
-  // not, the lease counts from before its request was sent, so it ends here
-  // before it ends at the worker. That leaves the time between this check and
-  // the send, which only the worker could guard.
+  if (lease->unreachable >= kUnreachableCallsToSuspend) return std::nullopt;
+  // Failure: this process was suspended beyond the end of its lease, and
+  // another one has attached since. The worker refuses the old epoch. For
+  // workers that do not check it, the lease is counted from before its request
+  // was sent, so it ends here before it ends at the worker. Only the worker
+  // could guard the time between this check and the send.
   const bool in_force = now < lease->granted + this->state->options.lease;
   if (!this->state->options.worker_checks_epoch && !in_force) {
     return std::nullopt;
   }
-  return this->Held(worker);
+  return this->HeldLease(worker);
 }
 
 std::optional<WorkerDescription> Ownership::Describe(
@@ -359,7 +375,9 @@
 }
 
 Instant Ownership::NextWakeup() const {
-  if (this->state->replan && this->state->settled) return Instant();
+  if (this->state->reschedule && this->state->discovery_complete) {
+    return Instant();
+  }
   return std::min(this->state->timers.Next(), this->state->next_check);
 }
 
