--- a/packages/core/src/retry_budget.cc
+++ b/packages/core/src/retry_budget.cc
@@ -5,9 +5,9 @@
 namespace mustardproxy {
 namespace {
 
-/// Unused retries are kept for as many first attempts as this.
+/// Number of first attempts whose unused retries are retained.
 constexpr double kBurstRequests = 1000;
-/// Retries of the minimum rate are kept for as long as this.
+/// Time for which unused retries of the minimum rate are retained.
 constexpr double kBurstSeconds = 5;
 
 double Seconds(Duration duration) {
@@ -23,8 +23,9 @@
 
 void RetryBudget::OnRequest(Instant now) {
   this->Refill(now);
-  const double most = std::max(this->share * kBurstRequests, this->tokens);
-  this->tokens = std::min(this->tokens + this->share, most);
+  const double max_tokens =
+      std::max(this->share * kBurstRequests, this->tokens);
+  this->tokens = std::min(this->tokens + this->share, max_tokens);
 }
 
 bool RetryBudget::TryRetry(Instant now) {
@@ -39,10 +40,10 @@
   const double earned =
       Seconds(now - this->refilled) * this->minimum_per_second;
   this->refilled = now;
-  // At least one whole retry must fit, also where the minimum rate is low.
-  const double most =
+  // The limit must allow at least one whole retry, even at a low minimum rate.
+  const double max_tokens =
       std::max({this->minimum_per_second * kBurstSeconds, 1.0, this->tokens});
-  this->tokens = std::min(this->tokens + earned, most);
+  this->tokens = std::min(this->tokens + earned, max_tokens);
 }
 
 }  // namespace mustardproxy
--- a/packages/core/src/scheduler/admission.cc
+++ b/packages/core/src/scheduler/admission.cc
@@ -12,17 +12,18 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Longest time after which callers are told to come back.
-constexpr Duration kMostRetryAfter = std::chrono::minutes(10);
-/// Tenth of a profile's queue that only teams below their share may fill.
-constexpr std::int64_t kKeptPartOfQueue = 10;
+/// Upper limit of the retry delay given to refused callers.
+constexpr Duration kMaxRetryAfter = std::chrono::minutes(10);
+/// One in this many places of a profile's queue is reserved for teams below
+/// their fair share.
+constexpr std::int64_t kReservedQueueDivisor = 10;
 
-struct NamedPart {
+struct NamedResource {
   std::string_view name;
   std::int64_t Resources::*part;
 };
 
-constexpr NamedPart kParts[] = {
+constexpr NamedResource kNamedResources[] = {
     {"cpu_milli", &Resources::cpu_milli},
     {"memory_mb", &Resources::memory_mb},
     {"accelerators", &Resources::accelerators},
@@ -30,13 +31,13 @@
 };
 
 Duration BoundRetryAfter(Duration wait) {
-  return std::clamp(wait, kLeastRetryAfter, kMostRetryAfter);
+  return std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
 }
 
 std::string DescribeAll(const Resources& resources) {
   std::ostringstream text;
-  for (const NamedPart& part : kParts) {
-    if (&part != &kParts[0]) text << ", ";
+  for (const NamedResource& part : kNamedResources) {
+    if (&part != &kNamedResources[0]) text << ", ";
     text << resources.*part.part << ' ' << part.name;
   }
   return text.str();
@@ -44,20 +45,20 @@
 
 std::string DescribeTooLarge(const Resources& task, const Resources& largest) {
   std::ostringstream text;
-  for (const NamedPart& part : kParts) {
+  for (const NamedResource& part : kNamedResources) {
     if (task.*part.part <= largest.*part.part) continue;
     text << "a task needs " << task.*part.part << ' ' << part.name
          << "; the largest worker has " << largest.*part.part;
     return text.str();
   }
-  text << "no worker has all of " << DescribeAll(task)
-       << " at once; the largest worker has " << DescribeAll(largest);
+  text << "no single worker has " << DescribeAll(task)
+       << "; the largest worker has " << DescribeAll(largest);
   return text.str();
 }
 
 std::string DescribeQuota(const Resources& all, const TeamEntry& team) {
   std::ostringstream text;
-  for (const NamedPart& part : kParts) {
+  for (const NamedResource& part : kNamedResources) {
     const std::int64_t limit = team.quota.*part.part;
     if (limit <= 0 || all.*part.part <= limit) continue;
     text << "the request needs " << all.*part.part << ' ' << part.name
@@ -69,26 +70,27 @@
 
 Admission CheckFit(const Ledger& ledger, const ServiceEntry& service) {
   if (ledger.WorkerCount() == 0) {
-    return {Error::kNoWorker, "this process owns no worker", kLeastRetryAfter};
+    return {Error::kNoWorker, "this process owns no worker", kMinRetryAfter};
   }
   if (!ledger.CouldEverFit(service.resources)) {
     return {Error::kNeverFits,
             DescribeTooLarge(service.resources, ledger.LargestCapacity()),
             Duration(0)};
   }
-  const std::int64_t room = ledger.EmptyRoomFor(service.resources);
-  if (room >= service.tasks) return {};
+  const std::int64_t fitting_tasks =
+      ledger.CountFittingWhenIdle(service.resources);
+  if (fitting_tasks >= service.tasks) return {};
   std::ostringstream text;
   text << "the request has " << service.tasks << " tasks of "
-       << DescribeAll(service.resources) << "; all workers, emptied, hold "
-       << room << "; the largest worker has "
+       << DescribeAll(service.resources) << "; all workers together can run "
+       << fitting_tasks << " when idle; the largest worker has "
        << DescribeAll(ledger.LargestCapacity());
   return {Error::kGangImpossible, text.str(), Duration(0)};
 }
 
-/// A full queue must not mean that the team that fills it shuts the others
-/// out. So the last tenth of a profile's queue is kept for teams that hold less
-/// of the queue than their weight gives them.
+/// Checks the queue limit of the profile. The last tenth of the queue is
+/// reserved for teams that use less of it than their weight entitles them to,
+/// so that one team that fills the queue cannot lock out the others.
 Admission CheckQueue(Instant now, const SchedulerState& state,
                      const ServiceEntry& service, TeamIndex team) {
   const auto found = state.queued_by_profile.find(service.profile.id);
@@ -96,24 +98,24 @@
       found == state.queued_by_profile.end() ? ProfileCount{} : found->second;
   const std::int64_t limit = service.profile.queue_limit;
   const double weight = state.catalog.TeamAt(team).weight;
-  const double fair = static_cast<double>(limit) * weight /
-                      std::max(state.catalog.TotalWeight(), weight);
-  const std::int64_t own =
+  const double fair_share = static_cast<double>(limit) * weight /
+                            std::max(state.catalog.TotalWeight(), weight);
+  const std::int64_t own_requests =
       team < counts.by_team.size() ? counts.by_team[team] : 0;
-  const bool below_share = static_cast<double>(own) < fair;
-  const std::int64_t kept = below_share ? 0 : limit / kKeptPartOfQueue;
-  if (counts.all < limit - kept) return {};
+  const bool below_share = static_cast<double>(own_requests) < fair_share;
+  const std::int64_t reserved = below_share ? 0 : limit / kReservedQueueDivisor;
+  if (counts.all < limit - reserved) return {};
   std::ostringstream text;
-  text << counts.all << " requests of profile " << service.profile.id
-       << " wait; its limit is " << limit;
-  if (kept > 0) text << ", a tenth of it kept for teams below their share";
+  text << "profile " << service.profile.id << " has " << counts.all
+       << " queued requests; its limit is " << limit;
+  if (reserved > 0) text << ", a tenth reserved for teams below their share";
   return {Error::kQueueFull, text.str(),
           BoundRetryAfter(ForecastDrain(now, state))};
 }
 
 Admission CheckQuota(const ServiceEntry& service, const TeamEntry& team) {
-  if (WithinQuota(service.all_tasks, team.quota)) return {};
-  return {Error::kQuotaExceeded, DescribeQuota(service.all_tasks, team),
+  if (WithinQuota(service.request_resources, team.quota)) return {};
+  return {Error::kQuotaExceeded, DescribeQuota(service.request_resources, team),
           Duration(0)};
 }
 
@@ -122,15 +124,16 @@
                     ServiceIndex service, TeamIndex team) {
   const ServiceEntry& entry = state.catalog.ServiceAt(service);
   const Duration allowed =
-      std::min(entry.profile.max_wait, request.place_by - now);
+      std::min(entry.profile.max_wait, request.placement_deadline - now);
   const Duration quota_wait = ForecastQuotaWait(state, service, team);
-  const Duration room_wait = ForecastWait(now, state, ledger, service, team);
-  const Duration wait = std::max(quota_wait, room_wait);
+  const Duration capacity_wait =
+      ForecastWait(now, state, ledger, service, team);
+  const Duration wait = std::max(quota_wait, capacity_wait);
   if (wait <= allowed) return {};
   std::ostringstream text;
   text << "the predicted wait is " << WholeMilliseconds(wait) << " ms";
-  if (quota_wait > room_wait) text << " for the quota of the team";
-  text << "; allowed are " << WholeMilliseconds(allowed) << " ms";
+  if (quota_wait > capacity_wait) text << " because of the quota of the team";
+  text << "; the limit is " << WholeMilliseconds(allowed) << " ms";
   return {Error::kWaitTooLong, text.str(), BoundRetryAfter(wait - allowed)};
 }
 
--- a/packages/core/src/scheduler/placement_pass.h
+++ b/packages/core/src/scheduler/placement_pass.h
@@ -13,13 +13,13 @@
 
 namespace mustardproxy::detail {
 
-/// One run of `Scheduler::Schedule`: places what can be placed, the most urgent
-/// priority first, within it the team that holds least, within that the
-/// earliest `place_by`.
+/// One run of `Scheduler::Schedule`. Requests are tried by priority, most
+/// urgent first; within a priority by team, lowest share first; within a team
+/// by earliest `placement_deadline`.
 ///
-/// During a pass room only shrinks. So once a service's task fits nowhere, no
-/// other request for the service is tried, and a pass over a full cell costs
-/// one search per waiting service however long the queues are.
+/// Free capacity only decreases during a pass. Once a task of a service fits
+/// nowhere, no other request for the service is tried, so a pass over a full
+/// cell costs one search per waiting service regardless of queue length.
 class PlacementPass {
  public:
   PlacementPass(Instant now, SchedulerState* state, Ledger* ledger,
@@ -27,40 +27,39 @@
   [[nodiscard]] std::vector<Placement> Run();
 
  private:
-  /// Why a request was not placed.
-  enum class Attempt {
+  /// Outcome of trying to place a request.
+  enum class PlaceResult {
     kPlaced,
     /// No other request for the service can be placed either.
     kServiceBlocked,
     /// No other request of the team for the service can be placed either.
-    kLaneBlocked,
-    /// Concerns this request alone.
+    kFlowBlocked,
+    /// Only this request cannot be placed.
     kRequestBlocked,
   };
 
-  void RunBand(std::int32_t priority, PriorityBand* band);
-  /// Places work of a band as long as it is below its guaranteed share.
-  void RunGuarantee(std::int32_t priority, PriorityBand* band);
-  void DropStaleReservation();
-  void GuaranteeReservation();
-  void TryHolder(std::int32_t priority);
-  /// @return false if nothing of the team can be placed
-  bool PlaceNextOf(const PriorityBand& band, TeamIndex team);
-  /// @return the lane of the team whose head is due first
-  [[nodiscard]] std::optional<LaneIndex> FirstLane(const PriorityBand& band,
-                                                   TeamIndex team);
-  Attempt TryPlace(RequestSlot slot);
-  [[nodiscard]] std::vector<WorkerId> FindRoom(const QueueEntry& entry,
-                                               const ServiceEntry& service,
-                                               Holds holds) const;
+  void PlaceBand(std::int32_t priority, PriorityBand* band);
+  /// Places requests of a band until it holds its guaranteed share.
+  void PlaceGuaranteedShare(std::int32_t priority, PriorityBand* band);
+  void ClearStaleReservation();
+  void UpdateReservationGuarantee();
+  void TryReservationHolder(std::int32_t priority);
+  /// @return false if no request of the team can be placed
+  bool PlaceNextRequest(const PriorityBand& band, TeamIndex team);
+  /// @return the flow of the team with the earliest deadline
+  [[nodiscard]] std::optional<FlowIndex> EarliestFlow(const PriorityBand& band,
+                                                      TeamIndex team);
+  PlaceResult TryPlace(RequestSlot slot);
+  [[nodiscard]] std::vector<WorkerId> FindWorkers(const QueueEntry& entry,
+                                                  const ServiceEntry& service,
+                                                  HoldPolicy holds) const;
   [[nodiscard]] bool LeavesHeadroom(const ServiceEntry& service,
                                     const std::vector<WorkerId>& workers,
                                     bool holds_reservation) const;
-  void ConsiderReservation(const QueueEntry& entry,
-                           const ServiceEntry& service);
+  void MaybeReserve(const QueueEntry& entry, const ServiceEntry& service);
   bool Commit(const QueueEntry& entry, const std::vector<WorkerId>& workers);
   void BlockService(ServiceIndex service);
-  [[nodiscard]] bool Full() const;
+  [[nodiscard]] bool LimitReached() const;
   void ObserveDrain();
 
   Instant now;
@@ -69,11 +68,11 @@
   std::size_t limit;
   std::vector<Placement> placements;
   std::unordered_set<ServiceIndex> blocked_services;
-  std::unordered_set<LaneIndex> blocked_lanes;
-  std::vector<RequestSlot> set_aside;
-  int avoided = 0;
-  bool in_guarantee = false;
-  /// Dominant shares placed, by priority.
+  std::unordered_set<FlowIndex> blocked_flows;
+  std::vector<RequestSlot> skipped_slots;
+  int skipped_requests = 0;
+  bool placing_guaranteed_share = false;
+  /// Sum of the dominant shares placed in this pass, by priority.
   std::map<std::int32_t, double> placed;
 };
 
--- a/packages/core/src/scheduler/scheduler_state.h
+++ b/packages/core/src/scheduler/scheduler_state.h
@@ -17,14 +17,14 @@
 
 namespace mustardproxy::detail {
 
-/// Requests of one profile that wait, whole and by team.
+/// Number of queued requests of one profile, in total and by team.
 struct ProfileCount {
   std::int64_t all = 0;
   std::vector<std::int64_t> by_team;
 };
 
-/// All that the scheduler knows, with the steps that keep its parts in line.
-/// Decisions are taken in the modules beside it.
+/// State of the scheduler, with the operations that keep its parts consistent.
+/// Decisions are made in the other modules of this directory.
 struct SchedulerState {
   Catalog catalog;
   RequestQueue queue;
@@ -36,34 +36,36 @@
   GangReservation reservation;
   /// See `SchedulerOptions`.
   double guaranteed_share = 0;
-  /// Of all owned workers, when last looked at.
+  /// Total capacity of all owned workers when last read from the ledger.
   Resources total_capacity;
-  /// The last pass ended at its limit, with more to be placed.
-  std::optional<Instant> stopped_at_limit;
-  /// Something waits only because of the headroom.
-  bool waits_for_headroom = false;
+  /// Time of the last pass if it stopped at its limit with more to place.
+  std::optional<Instant> limit_reached_at;
+  /// A request is waiting only because of the headroom.
+  bool blocked_by_headroom = false;
 
-  /// Follows a change of the owned workers.
-  void FollowCapacity(const Ledger& ledger);
-  /// Files all waiting requests anew, since priorities may have changed.
+  /// Updates the total capacity after a change of the owned workers.
+  void UpdateCapacity(const Ledger& ledger);
+  /// Rebuilds the bands from the queued requests, since priorities may have
+  /// changed.
   void RebuildBands();
-  [[nodiscard]] double ShareOf(TeamIndex team) const;
-  [[nodiscard]] double SizeOf(const Resources& resources) const;
+  [[nodiscard]] double WeightedShareOf(TeamIndex team) const;
+  [[nodiscard]] double DominantShareOf(const Resources& resources) const;
   [[nodiscard]] PriorityBand& BandOf(ServiceIndex service);
-  /// @return true if a band's tasks hold less than what is guaranteed to it
+  /// @return true if a band's tasks hold less than its guaranteed share
   [[nodiscard]] bool BelowGuarantee(const PriorityBand& band) const;
 
-  void Join(Instant now, QueuedRequest request, ServiceIndex service,
-            TeamIndex team);
-  /// @return the entry, if the request was queued
-  std::optional<QueueEntry> Leave(const RequestId& request);
-  void Start(RunningEntry entry);
-  /// Frees the task in the ledger and all counts.
-  std::optional<RunningEntry> End(const TaskId& task, Ledger* ledger);
+  void AddRequest(Instant now, QueuedRequest request, ServiceIndex service,
+                  TeamIndex team);
+  /// @return the removed entry, if the request was queued
+  std::optional<QueueEntry> RemoveRequest(const RequestId& request);
+  void AddRunningTask(RunningEntry entry);
+  /// Removes a task, releases it in the ledger and updates all counts.
+  std::optional<RunningEntry> RemoveRunningTask(const TaskId& task,
+                                                Ledger* ledger);
 
  private:
-  void Rank(TeamIndex team);
-  void File(const QueueEntry& entry);
+  void UpdateTeamShare(TeamIndex team);
+  void AddToBand(const QueueEntry& entry);
 };
 
 }  // namespace mustardproxy::detail
--- a/packages/core/src/scheduler/wait_forecast.cc
+++ b/packages/core/src/scheduler/wait_forecast.cc
@@ -8,22 +8,23 @@
 namespace mustardproxy::detail {
 namespace {
 
-/// Waits are cut off here; nothing allows a longer one.
-constexpr double kLongestSeconds = 30.0 * 24 * 3600;
-/// Part of the drain that is always left to less urgent work in a forecast.
-constexpr double kLeastPartOfDrain = 0.05;
+/// Upper limit of a predicted wait; no setting allows a longer one.
+constexpr double kMaxWaitSeconds = 30.0 * 24 * 3600;
+/// Fraction of the drain rate that a forecast always leaves to less urgent
+/// work.
+constexpr double kMinDrainFraction = 0.05;
 
 Duration FromSeconds(double seconds) {
-  const double bounded = std::clamp(seconds, 0.0, kLongestSeconds);
+  const double bounded = std::clamp(seconds, 0.0, kMaxWaitSeconds);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(bounded));
 }
 
-/// @return what waits in a band and is placed before a request of `size` of
-///   `team`: all of the team's own, and of each other team as much as fair
-///   share gives it in the meantime
-double AheadInBand(const SchedulerState& state, const PriorityBand& band,
-                   double size, std::optional<TeamIndex> team) {
+/// @return backlog of a band that is placed before a request of `size` of
+///   `team`: all of the team's own, and of each other team the amount that fair
+///   sharing gives it in the same time
+double BacklogAhead(const SchedulerState& state, const PriorityBand& band,
+                    double size, std::optional<TeamIndex> team) {
   if (!team) return band.Backlog();
   const double own = band.BacklogOf(*team);
   const double weight = state.catalog.TeamAt(*team).weight;
@@ -36,10 +37,10 @@
   return ahead;
 }
 
-/// @return share of the cell that a request could take now, for urgent work
-///   with what may be stopped for it
-double FreeFor(const SchedulerState& state, const Ledger& ledger,
-               const ServiceEntry& service) {
+/// @return share of the cell that a request could use now; for urgent work
+///   including the tasks that may be preempted
+double AvailableShare(const SchedulerState& state, const Ledger& ledger,
+                      const ServiceEntry& service) {
   Resources free = ledger.TotalFree();
   const bool urgent = service.profile.priority == 0;
   const bool fits = service.resources.FitsIn(ledger.LargestFree());
@@ -48,17 +49,18 @@
     if (!fits && state.running.Preemptible() == Resources{}) return 0;
   } else {
     if (!fits) return 0;
-    const std::int64_t wanted =
-        state.headroom.WantedOf(service.profile.priority);
-    if (wanted > 0 && ledger.TrackedRoom() <= wanted) return 0;
+    const std::int64_t reserved =
+        state.headroom.ReservedTasksFor(service.profile.priority);
+    if (reserved > 0 && ledger.TrackedFitCount() <= reserved) return 0;
   }
-  const auto room = static_cast<double>(CountFitting(service.resources, free));
-  return room * state.SizeOf(service.resources);
+  const auto fitting_tasks =
+      static_cast<double>(CountFitting(service.resources, free));
+  return fitting_tasks * state.DominantShareOf(service.resources);
 }
 
-/// @return share of the cell per second that goes to one priority
-double DrainFor(Instant now, const SchedulerState& state,
-                std::int32_t priority) {
+/// @return share of the cell per second that is available to one priority
+double DrainRateFor(Instant now, const SchedulerState& state,
+                    std::int32_t priority) {
   double more_urgent = 0;
   std::optional<double> measured;
   for (const auto& [level, band] : state.bands) {
@@ -67,7 +69,7 @@
     if (level == priority) measured = band.drain.PerSecond(now);
   }
   const double drain = measured.value_or(state.running.ReleasePerSecond());
-  return std::max(drain - more_urgent, drain * kLeastPartOfDrain);
+  return std::max(drain - more_urgent, drain * kMinDrainFraction);
 }
 
 }  // namespace
@@ -76,18 +78,19 @@
                       const Ledger& ledger, ServiceIndex service,
                       std::optional<TeamIndex> team) {
   const ServiceEntry& entry = state.catalog.ServiceAt(service);
-  const double size = state.SizeOf(entry.all_tasks);
+  const double size = state.DominantShareOf(entry.request_resources);
   double ahead = 0;
   for (const auto& [level, band] : state.bands) {
     if (level > entry.profile.priority) break;
     ahead += level < entry.profile.priority
                  ? band.Backlog()
-                 : AheadInBand(state, band, size, team);
+                 : BacklogAhead(state, band, size, team);
   }
-  const double missing = ahead + size - FreeFor(state, ledger, entry);
-  // Sizes are sums of fractions: a difference of rounding is no wait.
+  const double missing = ahead + size - AvailableShare(state, ledger, entry);
+  // Sizes are sums of fractions, so a difference within rounding error is not a
+  // wait.
   if (missing <= size * 1e-9) return Duration(0);
-  const double drain = DrainFor(now, state, entry.profile.priority);
+  const double drain = DrainRateFor(now, state, entry.profile.priority);
   if (drain <= 0) return Duration(0);
   return FromSeconds(missing / drain);
 }
@@ -117,7 +120,7 @@
   if (over <= 0 || at_once <= 0) return Duration(0);
   const double rounds =
       static_cast<double>(over) / static_cast<double>(at_once);
-  const std::chrono::duration<double> run = entry.ExpectedRun();
+  const std::chrono::duration<double> run = entry.ExpectedRunTime();
   return FromSeconds(rounds * run.count());
 }
 
--- a/packages/core/tests/core_deferred_test.cc
+++ b/packages/core/tests/core_deferred_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-DeferredStatus Ask(CoreHarness* harness, const RequestId& request) {
+DeferredStatus QueryStatus(CoreHarness* harness, const RequestId& request) {
   harness->Send(QueryArrived{9, request, false, false, false});
   const auto answers = harness->Take<AnswerQuery>();
   BOOST_TEST_REQUIRE(answers.size() == 1U);
@@ -22,23 +22,23 @@
 
 BOOST_AUTO_TEST_CASE(deferred_work_is_accepted_started_and_finished) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("review");
+  const RequestId id = harness.SendRequest("review");
   BOOST_TEST(harness.Take<ReplyAccepted>().size() == 1U);
   const StartTask start = harness.TakeStart();
-  BOOST_TEST(start.order.detached);
-  harness.Send(TaskStarted{start.worker, start.order.task});
-  BOOST_TEST((Ask(&harness, id).state == DeferredState::kRunning));
-  harness.End(start);
-  const DeferredStatus status = Ask(&harness, id);
+  BOOST_TEST(start.spec.detached);
+  harness.Send(TaskStarted{start.worker, start.spec.task});
+  BOOST_TEST((QueryStatus(&harness, id).state == DeferredState::kRunning));
+  harness.EndTask(start);
+  const DeferredStatus status = QueryStatus(&harness, id);
   BOOST_TEST((status.state == DeferredState::kFinished));
   BOOST_TEST(View(status.result.body) == "answer");
 }
 
-// A caller hands in a review whose record can never fit into the journal. It
-// was told "not recorded now" with a time to come back, and came back for ever.
-BOOST_AUTO_TEST_CASE(work_that_no_batch_can_hold_is_refused_for_good) {
+// Deferred work whose record exceeds the maximum batch size must be refused
+// permanently. Answered with a retry delay, the caller would retry forever.
+BOOST_AUTO_TEST_CASE(work_too_large_for_a_batch_is_refused_permanently) {
   CoreHarness harness(1);
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.body = std::make_shared<const std::string>(1'000'000, 'x');
   harness.Send(RequestArrived{request});
   const Answer answer = harness.TakeReply().answer;
@@ -49,12 +49,12 @@
   BOOST_TEST(harness.Take<AppendJournal>().empty());
 }
 
-// The platform does not answer. The caller must not be told 202, and the work
-// must not start, before the record is durable.
+// While the platform does not answer, the work must be neither confirmed with
+// status 202 nor started: its record is not durable yet.
 BOOST_AUTO_TEST_CASE(nothing_is_accepted_or_started_before_it_is_durable) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const auto appends = harness.Take<AppendJournal>();
   BOOST_TEST_REQUIRE(appends.size() == 1U);
   BOOST_TEST(harness.Take<ReplyAccepted>().empty());
@@ -70,28 +70,30 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// The append was sent and the platform went away before it answered. The work
-// may be recorded, so the caller is told "unknown" and not "not run".
-BOOST_AUTO_TEST_CASE(an_accept_of_unknown_fate_is_not_called_not_run) {
+// The append was sent but not confirmed before the platform became unreachable.
+// The work may be recorded, so the answer must be "unknown" instead of "not
+// run".
+BOOST_AUTO_TEST_CASE(an_unconfirmed_accept_is_answered_unknown) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Advance(std::chrono::seconds(6));
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const Reply refused = harness.TakeReply();
   BOOST_TEST((refused.answer.outcome == Outcome::kNotRun));
   BOOST_TEST((refused.answer.error == Error::kJournalUnavailable));
   BOOST_TEST(refused.answer.retry_after.count() > 0);
 }
 
-// The worker's lease is lost and taken again while the *started* record is on
-// its way. The new report was made without this task, so its room may be taken:
-// it must be placed anew instead of being sent under the new lease.
-BOOST_AUTO_TEST_CASE(a_start_is_not_sent_under_another_lease) {
+// The worker's lease is lost and acquired again while the *started* record is
+// being written. The new report does not contain this task, so its resources
+// may be in use; the task must be placed again instead of being sent under the
+// new lease.
+BOOST_AUTO_TEST_CASE(a_start_is_not_sent_under_a_newer_lease) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const JournalBatch accepted = harness.Take<AppendJournal>().front().batch;
   harness.Send(JournalAppended{accepted.journal, accepted.sequence});
   const JournalBatch started = harness.Take<AppendJournal>().front().batch;
@@ -107,11 +109,11 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// The host begins to leave while the *started* record is on its way.
-BOOST_AUTO_TEST_CASE(a_start_is_not_sent_to_a_host_that_began_to_leave) {
+// The host starts to leave while the *started* record is being written.
+BOOST_AUTO_TEST_CASE(a_start_is_not_sent_to_a_leaving_host) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const JournalBatch accepted = harness.Take<AppendJournal>().front().batch;
   harness.Send(JournalAppended{accepted.journal, accepted.sequence});
   const JournalBatch started = harness.Take<AppendJournal>().front().batch;
@@ -121,12 +123,13 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// A peer adopted this process's journal while it was paused. Its next append
-// finds the sequence number taken: nothing of that journal starts here again.
+// A peer adopted the journal of this process during a pause. The next append
+// finds its sequence number in use; no work of that journal may start here
+// afterwards.
 BOOST_AUTO_TEST_CASE(a_fenced_journal_stops_its_deferred_work) {
   CoreHarness harness(1);
   harness.journal_answers = false;
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const JournalBatch first = harness.Take<AppendJournal>().front().batch;
   harness.Send(JournalAppended{first.journal, first.sequence});
   const JournalBatch started = harness.Take<AppendJournal>().front().batch;
@@ -139,13 +142,13 @@
   BOOST_TEST(status.journals.front() != started.journal);
 }
 
-// Process p2 died after it had journalled a start. The adopter writes its fence
-// first, then asks the worker: the task runs, so it is not started again, and
-// its end is recorded here.
+// Process p2 died after it had journalled a start. The adopter writes its
+// fence, then queries the worker. The task is running, so it is not started
+// again, and its end is recorded here.
 BOOST_AUTO_TEST_CASE(an_adopted_running_task_is_followed_to_its_end) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("letter");
+  Request request = harness.MakeRequest("letter");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   StartedRecord started;
@@ -157,7 +160,8 @@
   harness.Send(JournalsListed{{journal}});
   harness.Advance(std::chrono::seconds(4));
   harness.Send(JournalsListed{{journal}});
-  // A first look tells whether it was handed over, a second one adopts it.
+  // The first read shows whether the journal was handed over; the second one
+  // adopts it.
   BOOST_TEST(harness.Take<ReadJournal>().size() == 2U);
   harness.Send(JournalRead{journal,
                            {{journal, 1, 11, {AcceptedRecord{request}}},
@@ -181,17 +185,17 @@
   harness.Advance(std::chrono::seconds(11));
   BOOST_TEST(harness.Take<QueryTask>().size() == 1U);
   harness.Send(answer);
-  BOOST_TEST((Ask(&harness, request.id).state == DeferredState::kFinished));
+  BOOST_TEST(
+      (QueryStatus(&harness, request.id).state == DeferredState::kFinished));
 }
 
-// A caller asks for a result whose process does not answer. While the peers are
-// still being asked, this process adopts that journal and reads the end there.
-// The caller then read "finished" with an empty body instead of the result,
-// since only the state was looked up once nobody else knew more.
-BOOST_AUTO_TEST_CASE(a_result_that_is_learnt_while_peers_are_asked_is_whole) {
+// This process adopts a journal while it queries peers for a result recorded
+// there. Failure: once no peer knew the work, only its state was looked up
+// again, and the caller received "finished" with an empty body.
+BOOST_AUTO_TEST_CASE(a_result_adopted_during_a_peer_query_is_returned_in_full) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("letter");
+  Request request = harness.MakeRequest("letter");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   FinishedRecord finished;
@@ -206,8 +210,8 @@
                             {journal, 2, 12, {finished}},
                             {journal, 3, 13, {HandedOverRecord{}}}}});
   BOOST_TEST(harness.Take<AnswerQuery>().empty());
-  for (auto asked = harness.Take<AskPeer>(); !asked.empty();
-       asked = harness.Take<AskPeer>()) {
+  for (auto asked = harness.Take<QueryPeer>(); !asked.empty();
+       asked = harness.Take<QueryPeer>()) {
     harness.Send(QueryAnswered{asked.front().query, std::nullopt});
   }
   const auto answers = harness.Take<AnswerQuery>();
@@ -217,12 +221,13 @@
   BOOST_TEST(View(answers.front().status->result.body) == "letter sent");
 }
 
-// The same, but a caller cancels: the work is adopted here while its former
-// holder is asked in vain. The caller was told a state, and the work ran on.
-BOOST_AUTO_TEST_CASE(work_adopted_while_peers_are_asked_is_cancelled_here) {
+// The same with a cancellation: the work is adopted here while its unreachable
+// former holder is queried. Failure: the caller received a state, and the work
+// was not cancelled.
+BOOST_AUTO_TEST_CASE(work_adopted_during_a_peer_query_is_cancelled_here) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("letter");
+  Request request = harness.MakeRequest("letter");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(QueryArrived{9, request.id, false, true, false});
@@ -231,22 +236,22 @@
                            {{journal, 1, 11, {AcceptedRecord{request}}},
                             {journal, 2, 12, {HandedOverRecord{}}}}});
   const StartTask start = harness.TakeStart();
-  for (auto asked = harness.Take<AskPeer>(); !asked.empty();
-       asked = harness.Take<AskPeer>()) {
+  for (auto asked = harness.Take<QueryPeer>(); !asked.empty();
+       asked = harness.Take<QueryPeer>()) {
     harness.Send(QueryAnswered{asked.front().query, std::nullopt});
   }
   const auto stops = harness.Take<StopTask>();
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  BOOST_TEST(stops.front().task == start.order.task);
+  BOOST_TEST(stops.front().task == start.spec.task);
 }
 
-// Two processes read the journal of a dead one. The one whose fence comes too
-// late must not have touched the work: no start, no question, no stop.
-BOOST_AUTO_TEST_CASE(nothing_adopted_is_touched_before_the_fence_is_durable) {
+// Two processes read the journal of a dead process. The one whose fence is late
+// must not have acted on the work: no start, no query, no stop.
+BOOST_AUTO_TEST_CASE(adopted_work_is_not_acted_on_before_the_fence_is_durable) {
   CoreHarness harness(1);
   harness.journal_answers = false;
   const JournalId journal("p2.b2");
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(JournalsListed{{journal}});
@@ -263,30 +268,30 @@
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// One task of a deferred gang is refused. The other must not run on alone.
-BOOST_AUTO_TEST_CASE(a_half_started_deferred_gang_is_stopped) {
+// One task of a deferred gang is refused. The other one must be stopped.
+BOOST_AUTO_TEST_CASE(a_partially_started_deferred_gang_is_stopped) {
   CoreHarness harness(2);
-  harness.Arrive("means");
+  harness.SendRequest("means");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
-  harness.Send(TaskStarted{starts[0].worker, starts[0].order.task});
+  harness.Send(TaskStarted{starts[0].worker, starts[0].spec.task});
   harness.Send(
-      TaskNotStarted{starts[1].worker, starts[1].order.task, Error::kNoWorker});
+      TaskNotStarted{starts[1].worker, starts[1].spec.task, Error::kNoWorker});
   const auto stops = harness.Take<StopTask>();
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  BOOST_TEST(stops.front().task == starts[0].order.task);
+  BOOST_TEST(stops.front().task == starts[0].spec.task);
   harness.Send(
       TaskStopAnswered{stops.front().worker, stops.front().task, true});
   harness.Advance(std::chrono::seconds(5));
   BOOST_TEST(harness.Take<StartTask>().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_queued_cancellation_says_that_it_did_not_run) {
+BOOST_AUTO_TEST_CASE(cancelled_queued_work_is_reported_as_not_run) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  const RequestId id = harness.Arrive("review");
+  const RequestId id = harness.SendRequest("review");
   harness.Send(QueryArrived{3, id, false, true, false});
   const auto answers = harness.Take<AnswerQuery>();
   BOOST_TEST_REQUIRE(answers.size() == 1U);
@@ -294,25 +299,26 @@
   BOOST_TEST(!answers.front().status->ran);
 }
 
-// Guards against work that goes on taking down each worker that starts it.
-BOOST_AUTO_TEST_CASE(work_under_which_workers_are_lost_is_given_up) {
+// Guards against work that crashes each worker that runs it: it must fail after
+// a bounded number of lost workers.
+BOOST_AUTO_TEST_CASE(work_that_repeatedly_loses_its_worker_fails) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("review");
+  const RequestId id = harness.SendRequest("review");
   constexpr int kMostStarts = 8;
   int starts = 0;
   for (int i = 0; i < kMostStarts; ++i) {
     for (const StartTask& start : harness.Take<StartTask>()) {
       ++starts;
-      harness.Send(TaskStarted{start.worker, start.order.task});
+      harness.Send(TaskStarted{start.worker, start.spec.task});
     }
-    harness.silent.insert(WorkerId("w1"));
+    harness.silent_workers.insert(WorkerId("w1"));
     harness.Advance(std::chrono::seconds(30));
-    harness.silent.clear();
+    harness.silent_workers.clear();
     ++harness.worker_incarnation;
     harness.Advance(std::chrono::seconds(30));
   }
   BOOST_TEST(starts == 5);
-  BOOST_TEST((Ask(&harness, id).state == DeferredState::kFailed));
+  BOOST_TEST((QueryStatus(&harness, id).state == DeferredState::kFailed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/core/tests/core_harness.cc
+++ b/packages/core/tests/core_harness.cc
@@ -35,53 +35,53 @@
   return profile;
 }
 
-void AddService(Configuration* cell, const char* name, const char* profile,
-                bool idempotent, std::int32_t tasks) {
+void AddService(Configuration* configuration, const char* name,
+                const char* profile, bool idempotent, std::int32_t tasks) {
   Service service;
   service.id = ServiceId(name);
   service.profile = ProfileId(profile);
   service.resources = kTask;
   service.idempotent = idempotent;
   service.tasks = tasks;
-  cell->services[service.id] = service;
+  configuration->services[service.id] = service;
 }
 
 }  // namespace
 
 CoreHarness::CoreHarness(std::int32_t workers) : core(Options(workers)) {
-  this->Send(ConfigurationArrived{Cell()});
+  this->Send(ConfigurationArrived{CellConfiguration()});
   this->Advance(std::chrono::seconds(5));
   BOOST_TEST_REQUIRE(this->core.Status(this->now).owned_workers == workers);
   this->actions.clear();
 }
 
-Configuration CoreHarness::Cell() {
-  Configuration cell;
-  cell.version = 1;
-  cell.default_team = TeamId("dlonie");
+Configuration CoreHarness::CellConfiguration() {
+  Configuration configuration;
+  configuration.version = 1;
+  configuration.default_team = TeamId("dlonie");
   Team team;
-  team.id = cell.default_team;
-  cell.teams[team.id] = team;
-  cell.profiles[ProfileId("urgent")] = MakeProfile("urgent", 0);
+  team.id = configuration.default_team;
+  configuration.teams[team.id] = team;
+  configuration.profiles[ProfileId("urgent")] = MakeProfile("urgent", 0);
   Profile batch = MakeProfile("batch", 2);
   batch.deferred = true;
   batch.preemptible = true;
   batch.max_wait = std::chrono::hours(1);
-  cell.profiles[batch.id] = batch;
+  configuration.profiles[batch.id] = batch;
   Profile gang = MakeProfile("gang", 1);
   gang.gang = true;
-  cell.profiles[gang.id] = gang;
-  AddService(&cell, "screen", "urgent", true, 1);
-  AddService(&cell, "booking", "urgent", false, 1);
-  AddService(&cell, "review", "batch", true, 1);
-  AddService(&cell, "letter", "batch", false, 1);
-  AddService(&cell, "rota", "gang", true, 2);
+  configuration.profiles[gang.id] = gang;
+  AddService(&configuration, "screen", "urgent", true, 1);
+  AddService(&configuration, "booking", "urgent", false, 1);
+  AddService(&configuration, "review", "batch", true, 1);
+  AddService(&configuration, "letter", "batch", false, 1);
+  AddService(&configuration, "rota", "gang", true, 2);
   Profile batch_gang = batch;
   batch_gang.id = ProfileId("batch-gang");
   batch_gang.gang = true;
-  cell.profiles[batch_gang.id] = batch_gang;
-  AddService(&cell, "means", "batch-gang", true, 2);
-  return cell;
+  configuration.profiles[batch_gang.id] = batch_gang;
+  AddService(&configuration, "means", "batch-gang", true, 2);
+  return configuration;
 }
 
 void CoreHarness::Send(Event event) {
@@ -101,7 +101,7 @@
 bool CoreHarness::Answer(const Action& action) {
   if (const auto* attach = std::get_if<AttachWorker>(&action)) {
     this->epochs[attach->worker] = attach->epoch;
-    if (this->silent.contains(attach->worker)) {
+    if (this->silent_workers.contains(attach->worker)) {
       this->Send(WorkerUnreachable{attach->worker, attach->epoch});
       return true;
     }
@@ -111,7 +111,7 @@
     }
   }
   if (const auto* renew = std::get_if<RenewWorker>(&action)) {
-    if (this->silent.contains(renew->worker)) {
+    if (this->silent_workers.contains(renew->worker)) {
       this->Send(WorkerUnreachable{renew->worker, renew->epoch});
       return true;
     }
@@ -152,7 +152,7 @@
   }
 }
 
-Request CoreHarness::Make(const std::string& service) {
+Request CoreHarness::MakeRequest(const std::string& service) {
   Request request;
   request.id = RequestId("p1.a1." + std::to_string(++this->last_request));
   request.service = ServiceId(service);
@@ -161,9 +161,9 @@
   return request;
 }
 
-RequestId CoreHarness::Arrive(const std::string& service,
-                              const std::string& key) {
-  Request request = this->Make(service);
+RequestId CoreHarness::SendRequest(const std::string& service,
+                                   const std::string& key) {
+  Request request = this->MakeRequest(service);
   request.idempotency_key = key;
   RequestId id = request.id;
   this->Send(RequestArrived{std::move(request)});
@@ -182,19 +182,19 @@
   return replies.front();
 }
 
-void CoreHarness::End(const StartTask& start, std::int32_t status,
-                      TaskEnd end) {
+void CoreHarness::EndTask(const StartTask& start, std::int32_t status,
+                          TaskEnd end) {
   EndedTask ended;
-  ended.task = start.order.task;
-  ended.request = start.order.request;
+  ended.task = start.spec.task;
+  ended.request = start.spec.request;
   ended.end = end;
   ended.status = status;
   ended.body = std::make_shared<const std::string>("answer");
   this->Send(TaskEnded{start.worker, ended});
 }
 
-void CoreHarness::PeerWithRoom(const std::string& peer,
-                               const std::string& data_center) {
+void CoreHarness::AddPeerWithRoom(const std::string& peer,
+                                  const std::string& data_center) {
   Digest digest;
   digest.process = ProcessId(peer);
   digest.incarnation = 0xb2;
--- a/packages/core/tests/core_operations_test.cc
+++ b/packages/core/tests/core_operations_test.cc
@@ -9,14 +9,14 @@
 
 BOOST_AUTO_TEST_SUITE(core_operations)
 
-// An operator's change is in force, and then an older document arrives late. It
-// must not take the change back.
-BOOST_AUTO_TEST_CASE(the_configuration_never_steps_back) {
+// An older configuration arrives after a newer one was applied. It must be
+// ignored.
+BOOST_AUTO_TEST_CASE(an_older_configuration_is_ignored) {
   CoreHarness harness(1);
-  Configuration newer = CoreHarness::Cell();
+  Configuration newer = CoreHarness::CellConfiguration();
   newer.version = 3;
   harness.Send(ConfigurationArrived{newer});
-  Configuration older = CoreHarness::Cell();
+  Configuration older = CoreHarness::CellConfiguration();
   older.version = 2;
   harness.Send(ConfigurationArrived{older});
   BOOST_TEST(harness.core.ConfigurationInForce().version == 3U);
@@ -44,15 +44,16 @@
   list.workers[0].leaving = true;
   harness.Send(list);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("screen");
+    harness.SendRequest("screen");
     BOOST_TEST(harness.TakeStart().worker == WorkerId("w2"));
   }
 }
 
-// The host list calls a worker leaving and, before that worker was empty and
-// released, live again. It must get work once more. Its lease never changed
-// hands, so nothing opened it again, and it idled while requests were refused.
-BOOST_AUTO_TEST_CASE(a_worker_that_does_not_leave_after_all_takes_work) {
+// The host list marks a worker as leaving and then, before the worker was idle
+// and released, no longer does. Failure: the lease was never released, so
+// nothing made the worker placeable again, and it stayed idle while requests
+// were refused.
+BOOST_AUTO_TEST_CASE(a_worker_that_is_no_longer_leaving_takes_work) {
   CoreHarness harness(1);
   WorkerDescription worker{WorkerId("w1"), "w1:80", DataCenterId("dc1"),
                            RackId("r1"), true};
@@ -62,28 +63,29 @@
   harness.Send(HostListArrived{{worker}});
   harness.Advance(std::chrono::seconds(1));
   BOOST_TEST(harness.Take<ReleaseWorker>().empty());
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A stop in good order: the screen in progress ends and is answered, a new one
-// is refused, the journal is handed over, and only then the worker is released.
-BOOST_AUTO_TEST_CASE(a_graceful_stop_cuts_nothing_off) {
+// Graceful shutdown: the request in progress completes and is answered, a new
+// one is refused, the journal is handed over, and only then the worker is
+// released.
+BOOST_AUTO_TEST_CASE(a_graceful_shutdown_completes_requests_in_progress) {
   CoreHarness harness(1);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<StartTask>();
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask screen = harness.TakeStart();
   harness.Take<AppendJournal>();
   harness.Send(ShutdownRequested{});
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const Reply refused = harness.TakeReply();
   BOOST_TEST((refused.answer.error == Error::kShuttingDown));
   BOOST_TEST((refused.answer.outcome == Outcome::kNotRun));
   harness.Advance(std::chrono::seconds(2));
   BOOST_TEST(harness.Take<ReleaseWorker>().empty());
   BOOST_TEST(harness.Take<AppendJournal>().empty());
-  harness.End(screen);
+  harness.EndTask(screen);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kCompleted));
   harness.Advance(std::chrono::milliseconds(200));
   const auto appends = harness.Take<AppendJournal>();
--- a/packages/core/tests/core_recovery_test.cc
+++ b/packages/core/tests/core_recovery_test.cc
@@ -19,9 +19,10 @@
   }
 }
 
-/// Answers questions of the peer `p2` whether something of a request is left.
+/// Answers the collected queries to peers whether any task of a request is
+/// left.
 void AnswerPeers(CoreHarness* harness, std::optional<bool> left) {
-  for (const AskPeer& ask : harness->Take<AskPeer>()) {
+  for (const QueryPeer& ask : harness->Take<QueryPeer>()) {
     BOOST_TEST(ask.stop_orphans);
     std::optional<DeferredStatus> status;
     if (left) {
@@ -36,58 +37,59 @@
 
 BOOST_AUTO_TEST_SUITE(core_recovery)
 
-// A worker misses two renewals and then answers again. Work that waited for it
-// must be placed there; it used to stay closed for good.
-BOOST_AUTO_TEST_CASE(a_worker_that_answers_again_takes_work) {
+// A worker misses two renewals and then answers again. Failure: it stayed
+// excluded from placement permanently. Queued work must be placed there.
+BOOST_AUTO_TEST_CASE(a_worker_that_becomes_reachable_again_takes_work) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
-  harness.silent.insert(worker);
+  harness.silent_workers.insert(worker);
   harness.Send(WorkerUnreachable{worker, harness.epochs[worker]});
   harness.Send(WorkerUnreachable{worker, harness.epochs[worker]});
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   BOOST_TEST(harness.Take<StartTask>().empty());
-  harness.silent.clear();
+  harness.silent_workers.clear();
   harness.Advance(std::chrono::seconds(12));
   harness.Take<StartTask>();
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A review failed on the only worker. It must run there again after a while,
-// and not wait for another worker for ever.
+// A review failed on the only worker. It must be retried there after a delay
+// instead of waiting forever for another worker.
 BOOST_AUTO_TEST_CASE(work_that_failed_on_the_only_worker_is_tried_again) {
   CoreHarness harness(1);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskStarted{first.worker, first.order.task});
-  harness.End(first, 500, TaskEnd::kFailed);
+  harness.Send(TaskStarted{first.worker, first.spec.task});
+  harness.EndTask(first, 500, TaskEnd::kFailed);
   harness.Advance(std::chrono::seconds(8));
   const auto again = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(again.size() == 1U);
-  BOOST_TEST(again.front().order.task != first.order.task);
+  BOOST_TEST(again.front().spec.task != first.spec.task);
 }
 
-// A process without workers hands its journal over while the record of one more
-// review is on its way to the platform. The caller is told 202 once it is
-// there, and the adopter runs the review. The former process had taken it up as
-// well: it could never start it, and told whoever asked that it is queued.
-BOOST_AUTO_TEST_CASE(work_recorded_after_the_hand_over_is_left_to_the_adopter) {
+// A process without workers hands its journal over while the *accepted* record
+// of another review is being written. The caller receives status 202 once the
+// record is durable, and the adopter runs the review. Failure: the former
+// process kept the review as well, could never start it, and reported it as
+// queued.
+BOOST_AUTO_TEST_CASE(work_recorded_after_the_handover_is_left_to_the_adopter) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<AppendJournal>();
   harness.Take<ReplyAccepted>();
   harness.journal_answers = false;
-  const RequestId late = harness.Arrive("review");
+  const RequestId late = harness.SendRequest("review");
   const auto pending = harness.Take<AppendJournal>();
   BOOST_TEST_REQUIRE(pending.size() == 1U);
   harness.workers_answer = false;
   harness.Send(WorkerRefused{WorkerId("w1"), harness.epochs[WorkerId("w1")],
                              900, ProcessId("p2"), std::chrono::seconds(3)});
   for (int i = 0; i < 4; ++i) {
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     harness.Advance(std::chrono::seconds(1));
   }
   const JournalBatch& accepted = pending.front().batch;
@@ -106,14 +108,15 @@
   BOOST_TEST(status.queued == 0);
 }
 
-// The only worker of this process is taken over while reviews wait for it. They
-// are handed to a peer that has workers, instead of waiting here for ever.
+// The only worker of this process is taken over while reviews are queued. They
+// must be handed over to a peer that owns workers instead of waiting here
+// forever.
 BOOST_AUTO_TEST_CASE(work_of_a_process_without_workers_is_handed_over) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<AppendJournal>();
   harness.workers_answer = false;
   harness.Send(WorkerRefused{WorkerId("w1"), harness.epochs[WorkerId("w1")],
@@ -121,7 +124,7 @@
                              std::chrono::hours(1)});
   bool handed_over = false;
   for (int i = 0; i < 10; ++i) {
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     harness.Advance(std::chrono::seconds(1));
     for (const AppendJournal& append : harness.Take<AppendJournal>()) {
       handed_over = handed_over || std::holds_alternative<HandedOverRecord>(
@@ -132,8 +135,8 @@
   BOOST_TEST(harness.core.Status(harness.Now()).deferred == 0);
 }
 
-// A journal that its writer handed over is adopted without the wait that
-// covers late heartbeats: results must not be out of reach for long.
+// A journal that its writer handed over is adopted without the delay that
+// covers late heartbeats, so that its results are available again soon.
 BOOST_AUTO_TEST_CASE(a_handed_over_journal_is_adopted_at_once) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
@@ -147,11 +150,11 @@
 }
 
 // A process died after it had started one of two tasks of a gang. The next
-// owner of the worker finds the task, learns that nobody follows it, and stops
-// it.
-BOOST_AUTO_TEST_CASE(a_half_started_gang_of_a_dead_process_is_stopped) {
+// owner of the worker finds the task, learns that no process tracks it, and
+// stops it.
+BOOST_AUTO_TEST_CASE(a_partially_started_gang_of_a_dead_process_is_stopped) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("q1", "dc2");
+  harness.AddPeerWithRoom("q1", "dc2");
   RunningTask half;
   half.task = TaskId("p2.b2.1/0/1001");
   half.request = RequestId("p2.b2.1");
@@ -159,7 +162,7 @@
   half.resources = {1000, 1000, 0, 1};
   harness.running[WorkerId("w1")].push_back(half);
   harness.Advance(std::chrono::seconds(12));
-  const auto asked = harness.Take<AskPeer>();
+  const auto asked = harness.Take<QueryPeer>();
   BOOST_TEST_REQUIRE(asked.size() == 1U);
   BOOST_TEST(harness.Take<StopTask>().empty());
   harness.Send(QueryAnswered{asked.front().query, std::nullopt});
@@ -168,28 +171,29 @@
   BOOST_TEST(stops.front().task == half.task);
 }
 
-// A rota was forwarded to a process that died after it had started one of two
-// tasks. The next owner of the worker asks around, and the forwarding process
-// still waits for the answer, so it says "running". It gives up at its caller's
-// timeout and stops nothing: the half rota then held its worker to the end.
-BOOST_AUTO_TEST_CASE(a_half_gang_is_stopped_once_nobody_follows_it_any_more) {
+// A gang was forwarded to a process that died after it had started one of two
+// tasks. The next owner of the worker queries the peers, and the forwarding
+// process, which still waits for the answer, reports "running". At the caller's
+// timeout that process stops tracking the request without stopping the task.
+// Failure: the remaining task occupied its worker until its time limit.
+BOOST_AUTO_TEST_CASE(a_partial_gang_is_stopped_once_no_process_tracks_it) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("p2", "dc1");
+  harness.AddPeerWithRoom("p2", "dc1");
   RunningTask half;
   half.task = TaskId("p2.b2.1/0/1");
   half.request = RequestId("p2.b2.1");
   half.service = ServiceId("rota");
   half.resources = {1000, 1000, 0, 1};
   harness.running[WorkerId("w1")].push_back(half);
-  harness.Take<AskPeer>();
+  harness.Take<QueryPeer>();
   DeferredStatus waiting;
   waiting.id = half.request;
   waiting.state = DeferredState::kRunning;
   std::size_t told = 0;
   for (int i = 0; i < 12; ++i) {
     harness.Advance(std::chrono::seconds(1));
-    harness.PeerWithRoom("p2", "dc1");
-    for (const AskPeer& ask : harness.Take<AskPeer>()) {
+    harness.AddPeerWithRoom("p2", "dc1");
+    for (const QueryPeer& ask : harness.Take<QueryPeer>()) {
       harness.Send(QueryAnswered{ask.query, waiting});
       ++told;
     }
@@ -198,8 +202,8 @@
   BOOST_TEST(harness.Take<StopTask>().empty());
   for (int i = 0; i < 12; ++i) {
     harness.Advance(std::chrono::seconds(1));
-    harness.PeerWithRoom("p2", "dc1");
-    for (const AskPeer& ask : harness.Take<AskPeer>()) {
+    harness.AddPeerWithRoom("p2", "dc1");
+    for (const QueryPeer& ask : harness.Take<QueryPeer>()) {
       harness.Send(QueryAnswered{ask.query, std::nullopt});
     }
   }
@@ -208,21 +212,21 @@
   BOOST_TEST(stops.front().task == half.task);
 }
 
-// A review was sent to a worker that froze before it read the order, and would
-// run it as soon as it goes on. The review must not be started elsewhere when
-// only the length of a task lease has passed.
-BOOST_AUTO_TEST_CASE(an_unread_start_is_waited_for_longer_than_a_lease) {
+// A review was sent to a worker that was suspended before it read the start,
+// and that will run it once it resumes. The review must not be started
+// elsewhere after only the duration of a task lease.
+BOOST_AUTO_TEST_CASE(an_unconfirmed_start_outlasts_a_task_lease) {
   CoreHarness harness(2);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
-  harness.silent.insert(first.worker);
-  harness.Send(TaskUncertain{first.worker, first.order.task, {}});
+  harness.silent_workers.insert(first.worker);
+  harness.Send(TaskUncertain{first.worker, first.spec.task, {}});
   for (int i = 0; i < 50; ++i) {
     AnswerQueries(&harness, TaskQueried::State::kUnreachable);
     harness.Advance(std::chrono::seconds(1));
   }
   BOOST_TEST(harness.Take<StartTask>().empty());
-  BOOST_TEST(harness.Take<AskPeer>().empty());
+  BOOST_TEST(harness.Take<QueryPeer>().empty());
   for (int i = 0; i < 30; ++i) {
     AnswerQueries(&harness, TaskQueried::State::kUnreachable);
     AnswerPeers(&harness, false);
@@ -231,31 +235,31 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A worker runs a booking, dies and is started again. Asked for the booking, it
-// says "never started", because it has forgotten. The caller must not be told
-// "not run", nor the booking be sent again.
-BOOST_AUTO_TEST_CASE(a_restarted_worker_is_no_witness_that_nothing_ran) {
+// A worker runs a booking, crashes and is restarted. It then answers a query
+// with "never started", since it has lost its state. The booking must neither
+// be answered "not run" nor be sent again.
+BOOST_AUTO_TEST_CASE(never_started_from_a_restarted_worker_is_not_trusted) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskUncertain{first.worker, first.order.task, {}});
+  harness.Send(TaskUncertain{first.worker, first.spec.task, {}});
   harness.worker_incarnation += 1;
   AnswerQueries(&harness, TaskQueried::State::kNeverStarted);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
   BOOST_TEST(harness.Take<StartTask>().empty());
 }
 
-// The same where the worker does not name its run: only renewals that it
-// accepts after the question show that it has not restarted.
+// The same for a worker that does not report its incarnation: only renewals
+// accepted after the query show that it has not restarted.
 BOOST_AUTO_TEST_CASE(never_started_is_confirmed_by_renewals) {
   CoreHarness harness(2);
-  harness.Arrive("booking");
+  harness.SendRequest("booking");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskUncertain{first.worker, first.order.task, {}});
+  harness.Send(TaskUncertain{first.worker, first.spec.task, {}});
   harness.workers_answer = false;
   TaskQueried never;
   never.worker = first.worker;
-  never.task = first.order.task;
+  never.task = first.spec.task;
   never.state = TaskQueried::State::kNeverStarted;
   harness.Send(never);
   BOOST_TEST(harness.Take<StartTask>().empty());
@@ -272,27 +276,27 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// A screen runs for longer than its profile may wait, and then its worker
-// reports failure. The caller still has time, so it is tried elsewhere.
+// A screen runs for longer than its profile's maximum wait and then fails. The
+// caller's timeout has not expired, so it is retried on another worker.
 BOOST_AUTO_TEST_CASE(a_failure_after_a_long_run_is_still_tried_again) {
   CoreHarness harness(2);
-  harness.Arrive("screen");
+  harness.SendRequest("screen");
   const StartTask first = harness.TakeStart();
   harness.Advance(std::chrono::seconds(3));
-  harness.End(first, 500, TaskEnd::kFailed);
+  harness.EndTask(first, 500, TaskEnd::kFailed);
   const StartTask second = harness.TakeStart();
   BOOST_TEST(second.worker != first.worker);
 }
 
-// A review runs at a worker that this process lost sight of. A peer reaches it,
-// owns it and renews the review's lease there. Only when the peer has stopped
-// it, and every peer has answered, may the review start elsewhere.
-BOOST_AUTO_TEST_CASE(a_review_that_a_peer_keeps_alive_is_not_run_again) {
+// A review runs at a worker that this process can't reach, while a peer owns
+// the worker and renews the review's lease. The review may start elsewhere only
+// after the peer has stopped it and every peer has answered.
+BOOST_AUTO_TEST_CASE(a_review_whose_lease_a_peer_renews_is_not_started_again) {
   CoreHarness harness(2);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask first = harness.TakeStart();
-  harness.Send(TaskStarted{first.worker, first.order.task});
-  harness.silent.insert(first.worker);
+  harness.Send(TaskStarted{first.worker, first.spec.task});
+  harness.silent_workers.insert(first.worker);
   for (const std::optional<bool> left :
        {std::optional<bool>(), std::optional<bool>(true)}) {
     for (int i = 0; i < 25; ++i) {
@@ -310,8 +314,8 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 1U);
 }
 
-// The other side of it: this process owns the worker, and stops what another
-// one has started there before it says that nothing is left.
+// The owner's side: this process stops the tasks that another process started
+// on its worker before it answers that none is left.
 BOOST_AUTO_TEST_CASE(an_orphan_is_stopped_for_a_peer) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
@@ -333,26 +337,27 @@
   BOOST_TEST(!harness.Take<AnswerQuery>().front().status->ran);
 }
 
-// A task of a gang fails by itself and the other is stopped, since its caller
-// has gone. Half an answer must not be passed off as the whole one.
-BOOST_AUTO_TEST_CASE(a_gang_with_a_stopped_task_has_no_whole_answer) {
+// One task of a gang fails by itself and the other one is stopped because the
+// caller disconnected. A partial answer must not be reported as complete.
+BOOST_AUTO_TEST_CASE(a_gang_with_a_stopped_task_is_not_answered_as_complete) {
   CoreHarness harness(2);
-  const RequestId id = harness.Arrive("rota");
+  const RequestId id = harness.SendRequest("rota");
   const auto starts = harness.Take<StartTask>();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   harness.Send(CancelRequested{id});
-  harness.End(starts[0], 0, TaskEnd::kStopped);
-  harness.End(starts[1], 500, TaskEnd::kFailed);
+  harness.EndTask(starts[0], 0, TaskEnd::kStopped);
+  harness.EndTask(starts[1], 500, TaskEnd::kFailed);
   BOOST_TEST((harness.TakeReply().answer.outcome == Outcome::kUnknown));
 }
 
 // The former holder of a journal had planned a second attempt when it was
-// fenced off, and frees its room when it learns of that. The adopter's task
-// must not bear the same id, or its room would be freed while it runs.
-BOOST_AUTO_TEST_CASE(an_adopter_uses_task_ids_of_its_own) {
+// fenced, and frees that attempt's resources when it learns of the fence. The
+// adopter's task must have another id, or its resources would be freed while it
+// runs.
+BOOST_AUTO_TEST_CASE(an_adopter_uses_distinct_task_ids) {
   CoreHarness harness(1);
   const JournalId journal("p2.b2");
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(JournalsListed{{journal}});
@@ -360,13 +365,14 @@
                            {{journal, 1, 11, {AcceptedRecord{request}}},
                             {journal, 2, 12, {HandedOverRecord{}}}}});
   const StartTask start = harness.TakeStart();
-  BOOST_TEST(start.order.task != TaskId("p2.b2.1/0/1"));
-  BOOST_TEST(start.order.task != TaskId("p2.b2.1/0/2"));
+  BOOST_TEST(start.spec.task != TaskId("p2.b2.1/0/1"));
+  BOOST_TEST(start.spec.task != TaskId("p2.b2.1/0/2"));
 }
 
-// A worker is taken over with tasks of its former owner. They count against its
-// room until they have ended, or it would be given more than it has.
-BOOST_AUTO_TEST_CASE(tasks_found_at_a_takeover_keep_their_room) {
+// A worker is taken over with running tasks of its former owner. Their
+// resources stay allocated until they have ended, or the worker would be
+// overcommitted.
+BOOST_AUTO_TEST_CASE(tasks_found_at_a_takeover_keep_their_resources) {
   CoreHarness harness(1);
   const WorkerId worker("w1");
   std::vector<RunningTask>& found = harness.running[worker];
@@ -381,7 +387,7 @@
   harness.Send(WorkerRefused{worker, harness.epochs[worker], 0, {}, {}});
   harness.Advance(std::chrono::seconds(2));
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
   BOOST_TEST(harness.Take<StartTask>().size() == 6U);
   found.clear();
@@ -389,43 +395,43 @@
   BOOST_TEST(harness.Take<StartTask>().size() == 2U);
 }
 
-// A screen runs when its worker is taken over by a peer, as after a pause of
-// this process. Its caller hangs up. A stop with the old epoch would be
-// refused, so the new owner is told, or the screen holds the worker to its own
-// end.
+// A screen runs when a peer takes its worker over, for example after a pause of
+// this process, and then its caller disconnects. A stop under the old epoch
+// would be refused and the screen would occupy the worker until it ends, so the
+// new owner is asked to stop it.
 BOOST_AUTO_TEST_CASE(a_stop_at_a_worker_that_was_taken_over_goes_to_its_owner) {
   CoreHarness harness(1);
-  harness.PeerWithRoom("p2", "dc1");
-  const RequestId id = harness.Arrive("screen");
+  harness.AddPeerWithRoom("p2", "dc1");
+  const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
-  harness.Send(TaskStarted{start.worker, start.order.task});
+  harness.Send(TaskStarted{start.worker, start.spec.task});
   harness.workers_answer = false;
   harness.Send(WorkerRefused{start.worker, harness.epochs[start.worker],
                              ~Epoch{0} / 2, ProcessId("p2"),
                              std::chrono::hours(1)});
   harness.Send(CancelRequested{id});
   BOOST_TEST(harness.Take<StopTask>().empty());
-  const auto asked = harness.Take<AskPeer>();
+  const auto asked = harness.Take<QueryPeer>();
   BOOST_TEST_REQUIRE(asked.size() == 1U);
   BOOST_TEST(asked.front().peer == ProcessId("p2"));
   BOOST_TEST(asked.front().request == id);
   BOOST_TEST(asked.front().stop_orphans);
   harness.Advance(std::chrono::milliseconds(1500));
   AnswerQueries(&harness, TaskQueried::State::kRunning);
-  BOOST_TEST(harness.Take<AskPeer>().size() == 1U);
+  BOOST_TEST(harness.Take<QueryPeer>().size() == 1U);
   harness.Advance(std::chrono::milliseconds(1500));
   EndedTask ended;
-  ended.task = start.order.task;
+  ended.task = start.spec.task;
   ended.end = TaskEnd::kStopped;
   harness.Send(TaskEnded{start.worker, ended});
   BOOST_TEST(harness.Take<Reply>().size() == 1U);
 }
 
-// Story: a process dies while two reviews run. A peer adopts its journal,
-// follows the reviews, and takes their worker over a moment later. When they
-// have ended, their room must be free again. It stayed taken for as long as the
-// peer held the worker, and other work waited beside an idle worker for ever.
-BOOST_AUTO_TEST_CASE(tasks_followed_before_a_takeover_give_their_room_back) {
+// A process dies while two reviews run. A peer adopts its journal, tracks the
+// reviews, and then takes their worker over. Failure: the resources of the
+// reviews stayed allocated after they had ended, for as long as the peer held
+// the worker, and other work waited while the worker was idle.
+BOOST_AUTO_TEST_CASE(tasks_tracked_before_a_takeover_free_their_resources) {
   CoreHarness harness(2);
   const WorkerId worker("w2");
   harness.workers_answer = false;
@@ -434,7 +440,7 @@
   std::vector<JournalRecord> records;
   std::vector<EndedTask> ended;
   for (const char* name : {"p2.b2.1", "p2.b2.2"}) {
-    Request request = harness.Make("review");
+    Request request = harness.MakeRequest("review");
     request.id = RequestId(name);
     request.team = TeamId("dlonie");
     const TaskId task(std::string(name) + "/0/1");
@@ -464,20 +470,20 @@
   harness.ended[worker] = ended;
   harness.Advance(std::chrono::seconds(12));
   for (int i = 0; i < 16; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
   BOOST_TEST(harness.Take<StartTask>().size() == 16U);
 }
 
-// Story: a review runs when its process loses the journal to a peer, and gets
-// the journal back while the review still runs. When it has ended nothing may
-// count as running any more. The task was followed anew then, and what the
-// scheduler counted for it stayed for good.
-BOOST_AUTO_TEST_CASE(work_that_comes_back_to_its_process_is_counted_once) {
+// A process loses its journal to a peer while a review runs, and adopts it back
+// while the review is still running. Failure: the task was tracked as a task of
+// another process, and the scheduler still counted it as running after it had
+// ended.
+BOOST_AUTO_TEST_CASE(work_adopted_back_by_its_process_is_counted_once) {
   CoreHarness harness(1);
-  harness.Arrive("review");
+  harness.SendRequest("review");
   const StartTask start = harness.TakeStart();
-  harness.Send(TaskStarted{start.worker, start.order.task});
+  harness.Send(TaskStarted{start.worker, start.spec.task});
   const auto appends = harness.Take<AppendJournal>();
   BOOST_TEST_REQUIRE(appends.size() == 2U);
   const JournalId journal = appends[0].batch.journal;
@@ -491,27 +497,27 @@
       journal, {appends[0].batch, appends[1].batch, adopted, back}});
   BOOST_TEST_REQUIRE(harness.core.Status(harness.Now()).deferred == 1);
   AnswerQueries(&harness, TaskQueried::State::kRunning);
-  harness.End(start);
+  harness.EndTask(start);
   BOOST_TEST(harness.core.Status(harness.Now()).deferred == 0);
   BOOST_TEST(harness.core.Status(harness.Now()).running == 0);
   BOOST_TEST(harness.core.Status(harness.Now()).free.slots == 8);
 }
 
-// Story: the platform is cut off while a process adopts a journal, and the
-// process has lost its workers when the adoption is confirmed, so that it has
-// handed all journals on. It took the adopted work up all the same, could never
-// record its end, and told whoever asked that the work runs, long after the
-// next adopter had finished it.
-BOOST_AUTO_TEST_CASE(a_journal_given_on_before_its_adoption_is_not_taken_up) {
+// The platform is unreachable while a process adopts a journal. When the
+// adoption is confirmed, the process has lost its workers and handed all
+// journals over. Failure: it resumed the adopted work anyway, could never
+// record its end, and reported it as running long after the next adopter had
+// finished it.
+BOOST_AUTO_TEST_CASE(a_journal_handed_over_before_its_adoption_is_not_resumed) {
   CoreHarness harness(1);
   for (int i = 0; i < 8; ++i) {
-    harness.Arrive("booking");
+    harness.SendRequest("booking");
   }
-  harness.Arrive("review");
+  harness.SendRequest("review");
   harness.Take<AppendJournal>();
   harness.journal_answers = false;
   const JournalId journal("p2.b2");
-  Request request = harness.Make("review");
+  Request request = harness.MakeRequest("review");
   request.id = RequestId("p2.b2.1");
   request.team = TeamId("dlonie");
   harness.Send(JournalsListed{{journal}});
@@ -524,7 +530,7 @@
   harness.Send(WorkerRefused{WorkerId("w1"), harness.epochs[WorkerId("w1")],
                              900, ProcessId("p2"), std::chrono::hours(1)});
   for (int i = 0; i < 4; ++i) {
-    harness.PeerWithRoom("p2", "dc1");
+    harness.AddPeerWithRoom("p2", "dc1");
     harness.Advance(std::chrono::seconds(1));
   }
   harness.Take<AppendJournal>();
@@ -540,30 +546,30 @@
   BOOST_TEST(harness.core.Status(harness.Now()).deferred == 0);
 }
 
-// A caller gives up while its start is on its way, and the stop overtakes the
-// start. "Not stopped" does not mean that nothing runs: the worker is asked, so
-// that it refuses the start from then on.
+// A caller disconnects while the start is in transit, and the stop overtakes
+// the start. "Not stopped" does not mean that nothing will run: the worker must
+// be queried, after which it refuses the start.
 BOOST_AUTO_TEST_CASE(a_stop_that_overtakes_its_start_is_followed_up) {
   CoreHarness harness(1);
-  const RequestId id = harness.Arrive("screen");
+  const RequestId id = harness.SendRequest("screen");
   const StartTask start = harness.TakeStart();
   harness.Send(CancelRequested{id});
-  harness.Send(TaskStopAnswered{start.worker, start.order.task, false});
+  harness.Send(TaskStopAnswered{start.worker, start.spec.task, false});
   BOOST_TEST(harness.Take<Reply>().empty());
   const auto queries = harness.Take<QueryTask>();
   BOOST_TEST_REQUIRE(queries.size() == 1U);
-  BOOST_TEST(queries.front().task == start.order.task);
+  BOOST_TEST(queries.front().task == start.spec.task);
 }
 
-// A screen ran and failed, and is given up while it waits for another try. The
-// caller must not be told "not run".
-BOOST_AUTO_TEST_CASE(a_request_that_ran_is_never_called_not_run) {
+// A screen ran and failed, and expires while it is queued for another attempt.
+// The answer must not be "not run".
+BOOST_AUTO_TEST_CASE(a_request_that_ran_is_never_answered_not_run) {
   CoreHarness harness(1);
-  harness.Arrive("screen");
-  harness.End(harness.TakeStart(), 500, TaskEnd::kFailed);
+  harness.SendRequest("screen");
+  harness.EndTask(harness.TakeStart(), 500, TaskEnd::kFailed);
   harness.Advance(std::chrono::seconds(3));
   for (const StartTask& start : harness.Take<StartTask>()) {
-    harness.End(start, 500, TaskEnd::kFailed);
+    harness.EndTask(start, 500, TaskEnd::kFailed);
   }
   harness.Advance(std::chrono::seconds(10));
   const Reply reply = harness.TakeReply();
--- a/packages/core/tests/deferred_store_recovery_test.cc
+++ b/packages/core/tests/deferred_store_recovery_test.cc
@@ -73,10 +73,10 @@
 
 BOOST_AUTO_TEST_SUITE(deferred_store_recovery)
 
-// An entry process dies with four pieces of deferred work in its journal. Its
-// peer adopts the journal: what has ended must not run again, the rest must be
-// found with the workers that may be running it.
-BOOST_AUTO_TEST_CASE(unfinished_work_comes_back_in_order_of_acceptance) {
+// An entry process fails with four deferred requests in its journal, and its
+// peer adopts the journal. Requests that have ended must not run again; the
+// others must be found together with the workers that may be running them.
+BOOST_AUTO_TEST_CASE(recovery_returns_unfinished_work_in_order_of_acceptance) {
   DeferredStore store;
   const auto batches = Batches(
       {Accepted("z"), Accepted("b"), Accepted("a"), Accepted("c"),
@@ -91,10 +91,10 @@
   BOOST_TEST((store.Find(RequestId("a"))->state == DeferredState::kCancelled));
   BOOST_TEST(store.Find(RequestId("a"))->ran);
   BOOST_TEST(View(store.Find(RequestId("b"))->result.body) == "result");
-  BOOST_TEST(store.UnfinishedIn(kJournal) == 2U);
+  BOOST_TEST(store.UnfinishedCount(kJournal) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(applying_everything_again_changes_nothing) {
+BOOST_AUTO_TEST_CASE(applying_records_twice_has_no_further_effect) {
   DeferredStore store;
   const auto batches =
       Batches({Accepted("a"), Accepted("b"), Started("b", 0, 1),
@@ -110,24 +110,25 @@
   BOOST_TEST(store.Size() == 2U);
   BOOST_TEST(store.Bytes() == bytes);
   BOOST_TEST(bytes == 10U);
-  BOOST_TEST(store.UnfinishedIn(kJournal) == 1U);
+  BOOST_TEST(store.UnfinishedCount(kJournal) == 1U);
   BOOST_TEST((*store.Find(RequestId("a"))->ended == kStart));
 }
 
-// A review runs a second time after its process died. The end was pending when
-// the owner took a snapshot, so the journal holds the end first and then the
-// snapshot's acceptance; the batch with the first acceptance is trimmed.
-BOOST_AUTO_TEST_CASE(an_end_ahead_of_a_snapshot_is_not_forgotten) {
+// Failure: a request runs a second time after its process has failed. Its end
+// was pending when the owner took a snapshot, so the journal holds the end
+// first and then the acceptance from the snapshot; the batch with the first
+// acceptance has been trimmed.
+BOOST_AUTO_TEST_CASE(an_end_recorded_before_a_snapshot_is_kept) {
   DeferredStore store;
   const auto batches =
       Batches({Finished("a"), Accepted("a"), Started("a", 0, 1)});
   BOOST_TEST(store.Recover(kStart, kJournal, batches).empty());
   BOOST_TEST((store.Find(RequestId("a"))->state == DeferredState::kFinished));
-  BOOST_TEST(store.UnfinishedIn(kJournal) == 0U);
+  BOOST_TEST(store.UnfinishedCount(kJournal) == 0U);
   BOOST_TEST(store.Bytes() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(the_first_end_stands) {
+BOOST_AUTO_TEST_CASE(the_first_recorded_end_is_kept) {
   DeferredStore store;
   store.Apply(kStart, kJournal, Accepted("a"));
   store.Apply(kStart, kJournal, CancelledRecord{RequestId("a"), false});
--- a/packages/core/tests/ledger_gang_test.cc
+++ b/packages/core/tests/ledger_gang_test.cc
@@ -22,7 +22,7 @@
       WorkerReport report;
       report.worker = worker.id;
       report.capacity = kCapacity;
-      this->ledger.Open(worker, report);
+      this->ledger.AddWorker(worker, report);
     }
   }
   void Use(const char* worker, std::int64_t slots) {
@@ -35,7 +35,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ledger_gang, TwoRacks)
 
-BOOST_AUTO_TEST_CASE(best_fit_takes_the_rack_with_least_room_to_spare) {
+BOOST_AUTO_TEST_CASE(best_fit_uses_the_rack_with_least_free_capacity) {
   this->Use("b1", 4);
   const auto gang = this->ledger.FindGang(kTask, 10, Packing::kBestFit, {});
   BOOST_REQUIRE(gang.size() == 10);
@@ -48,24 +48,26 @@
   BOOST_TEST(std::set<WorkerId>(gang.begin(), gang.end()).size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(held_room_is_seen_only_by_who_may_use_it) {
+BOOST_AUTO_TEST_CASE(held_capacity_is_found_only_when_holds_are_ignored) {
   for (const char* id : {"a1", "a2", "b1"}) {
     this->ledger.Hold(WorkerId(id), kCapacity);
   }
   this->Use("b2", 8);
   BOOST_TEST(!this->ledger.Find(kTask, Packing::kBestFit, {}).has_value());
-  BOOST_TEST(this->ledger.Find(kTask, Packing::kBestFit, {}, Holds::kIgnore)
-                 .has_value());
+  BOOST_TEST(
+      this->ledger.Find(kTask, Packing::kBestFit, {}, HoldPolicy::kIgnore)
+          .has_value());
   BOOST_TEST(this->ledger.FindGang(kTask, 2, Packing::kBestFit, {}).empty());
   BOOST_TEST(
-      this->ledger.FindGang(kTask, 24, Packing::kBestFit, {}, Holds::kIgnore)
+      this->ledger
+          .FindGang(kTask, 24, Packing::kBestFit, {}, HoldPolicy::kIgnore)
           .size() == 24);
   this->ledger.ClearHolds();
   BOOST_TEST(this->ledger.FindGang(kTask, 2, Packing::kBestFit, {}).size() ==
              2);
 }
 
-BOOST_AUTO_TEST_CASE(a_plan_names_the_earliest_moment_with_room) {
+BOOST_AUTO_TEST_CASE(a_plan_gives_the_earliest_time_with_capacity) {
   for (const char* id : {"a1", "a2", "b1", "b2"}) this->Use(id, 8);
   const auto at = [](int seconds) {
     return kNow + std::chrono::seconds(seconds);
@@ -84,17 +86,17 @@
            .has_value());
 }
 
-BOOST_AUTO_TEST_CASE(tracked_room_follows_every_change) {
-  this->ledger.TrackRoom(kTask);
-  BOOST_TEST(this->ledger.TrackedRoom() == 32);
+BOOST_AUTO_TEST_CASE(the_tracked_fit_count_follows_every_change) {
+  this->ledger.TrackFitCount(kTask);
+  BOOST_TEST(this->ledger.TrackedFitCount() == 32);
   this->Use("a1", 3);
-  BOOST_TEST(this->ledger.TrackedRoom() == 29);
-  BOOST_TEST(this->ledger.TrackedRoomWithout(
+  BOOST_TEST(this->ledger.TrackedFitCount() == 29);
+  BOOST_TEST(this->ledger.TrackedFitCountWithout(
                  WorkerId("a2"), Resources{6500, 1000, 0, 1}) == 22);
   this->ledger.SetPlaceable(WorkerId("b1"), false);
-  BOOST_TEST(this->ledger.TrackedRoom() == 21);
-  this->ledger.Close(WorkerId("a1"));
-  BOOST_TEST(this->ledger.TrackedRoom() == 16);
+  BOOST_TEST(this->ledger.TrackedFitCount() == 21);
+  this->ledger.RemoveWorker(WorkerId("a1"));
+  BOOST_TEST(this->ledger.TrackedFitCount() == 16);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/core/tests/membership_failure_test.cc
+++ b/packages/core/tests/membership_failure_test.cc
@@ -30,7 +30,7 @@
   return digest;
 }
 
-Membership ThreeMembers(const char* self) {
+Membership MembershipOfThree(const char* self) {
   std::vector<PeerDescription> peers;
   for (const char* name : {"a", "b", "c"}) {
     peers.push_back({ProcessId(name), kHome});
@@ -38,31 +38,32 @@
   return {{ProcessId(self), kHome}, peers, {}};
 }
 
-/// Which of three members keep the watch, by the views of each.
-std::string Keepers(const std::vector<Digest>& digests) {
-  std::string keepers;
+/// @return the members that consider themselves the configuration watcher, each
+///   according to its own view
+std::string ConfigurationWatchers(const std::vector<Digest>& digests) {
+  std::string watchers;
   for (const Digest& self : digests) {
-    Membership membership = ThreeMembers(self.process.Text().c_str());
+    Membership membership = MembershipOfThree(self.process.Text().c_str());
     for (const Digest& digest : digests) {
       (void)membership.OnDigest(Instant(1s), digest);
     }
     Actions actions;
     membership.Tick(Instant(1s), self, &actions);
-    if (membership.KeepsWatch()) keepers += self.process.Text();
+    if (membership.IsConfigurationWatcher()) watchers += self.process.Text();
   }
-  return keepers;
+  return watchers;
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(membership_failure)
 
-BOOST_AUTO_TEST_CASE(a_restart_shows_and_late_news_of_the_former_run_does_not) {
-  // Story: a process crashes and comes back under its name. A heartbeat of its
-  // former run, held up on the way, arrives after the first one of the new run.
-  // Were it believed, its orphaned journal would seem to be held by a live
-  // process, and the deferred work in it would never be adopted.
-  Membership membership = ThreeMembers("a");
+BOOST_AUTO_TEST_CASE(a_restart_is_detected_and_late_digests_are_ignored) {
+  // Failure: a process restarts under the same name, and a delayed heartbeat of
+  // its former run arrives after the first one of the new run. If it were
+  // accepted, the orphaned journal would appear to be held by a live process,
+  // and its deferred work would never be adopted.
+  Membership membership = MembershipOfThree("a");
   Digest former = DigestOf("b");
   former.journals = {JournalId("b.1")};
   Digest present = DigestOf("b");
@@ -76,27 +77,27 @@
   BOOST_TEST(!membership.OnDigest(Instant(4s), present));
 }
 
-BOOST_AUTO_TEST_CASE(one_member_keeps_the_watch_and_the_next_one_takes_it) {
-  // Story: the member that watches the configuration loses its way to the
-  // platform, and only it. An operator's change would not reach this data
-  // centre although two members could read it.
+BOOST_AUTO_TEST_CASE(one_member_watches_and_another_takes_over) {
+  // Failure: only the member that watches the configuration loses its
+  // connection to the platform. Configuration changes would not reach this data
+  // centre although two other members could read them.
   const std::vector<Digest> healthy{DigestOf("a"), DigestOf("b"),
                                     DigestOf("c")};
-  BOOST_TEST(Keepers(healthy) == "a");
+  BOOST_TEST(ConfigurationWatchers(healthy) == "a");
   const std::vector<Digest> first_cut{DigestOf("a", false), DigestOf("b"),
                                       DigestOf("c")};
-  BOOST_TEST(Keepers(first_cut) == "b");
-  // In an outage for all, one goes on trying and not all three.
+  BOOST_TEST(ConfigurationWatchers(first_cut) == "b");
+  // During an outage that affects all members, only one of them keeps trying.
   const std::vector<Digest> outage{DigestOf("a", false), DigestOf("b", false),
                                    DigestOf("c", false)};
-  BOOST_TEST(Keepers(outage) == "a");
+  BOOST_TEST(ConfigurationWatchers(outage) == "a");
 }
 
-BOOST_AUTO_TEST_CASE(a_crashed_process_is_found_by_its_refused_connections) {
-  // Story: an entry process crashes. Its host answers each heartbeat with a
-  // refused connection, at once. The workers it owned are idle until its peers
-  // have noticed.
-  Membership membership = ThreeMembers("a");
+BOOST_AUTO_TEST_CASE(a_crashed_process_is_detected_by_refused_connections) {
+  // An entry process crashes, and its host refuses each heartbeat connection
+  // immediately. The workers that it owned stay idle until its peers have
+  // detected the crash.
+  Membership membership = MembershipOfThree("a");
   (void)membership.OnDigest(Instant(1s), DigestOf("b"));
   (void)membership.OnDigest(Instant(1s), DigestOf("c"));
   Instant lost;
@@ -109,17 +110,17 @@
       if (peer == ProcessId("b")) membership.OnUnreachable(now, peer);
       if (peer == ProcessId("c")) (void)membership.OnDigest(now, DigestOf("c"));
     }
-    if (!membership.TakeLost(now).empty()) lost = now;
+    if (!membership.TakeLostPeers(now).empty()) lost = now;
   }
   BOOST_TEST((lost > Instant(1s)));
   BOOST_TEST((lost <= Instant(2s + 600ms)));
   BOOST_TEST(membership.Alive(ProcessId("c")));
 }
 
-BOOST_AUTO_TEST_CASE(one_lost_heartbeat_changes_nothing) {
-  // Story: a single heartbeat is dropped by the network. A member taken for
-  // dead over it would have its workers attached by others.
-  Membership membership = ThreeMembers("a");
+BOOST_AUTO_TEST_CASE(one_lost_heartbeat_has_no_effect) {
+  // Failure: a single heartbeat is lost in the network, its receiver is
+  // considered failed, and other members attach to its workers.
+  Membership membership = MembershipOfThree("a");
   (void)membership.OnDigest(Instant(1s), DigestOf("b"));
   (void)membership.OnDigest(Instant(1s), DigestOf("c"));
   std::int32_t sent = 0;
@@ -133,16 +134,16 @@
         (void)membership.OnDigest(now, DigestOf(peer.c_str()));
       }
     }
-    BOOST_TEST(membership.TakeLost(now).empty());
+    BOOST_TEST(membership.TakeLostPeers(now).empty());
   }
   BOOST_TEST(sent > 9);
   BOOST_TEST(membership.LocalMembers().size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(news_that_must_spread_does_not_wait_for_the_heartbeat) {
-  // Story: an operator's change reaches one member of eight through its watch.
-  // The others must have it within seconds, and quiet heartbeats are seconds
-  // apart.
+BOOST_AUTO_TEST_CASE(urgent_changes_do_not_wait_for_the_heartbeat) {
+  // A configuration change reaches one of eight members through its watch. The
+  // others must receive it within seconds, although heartbeats of an idle cell
+  // are seconds apart.
   OwnershipCell cell({"a", "b", "c", "d", "e", "f", "g", "h"}, 1);
   cell.StartAll();
   cell.Run(20s);
@@ -152,21 +153,21 @@
   Membership& membership = cell.At("a").membership;
   Digest changed = cell.At("a").OwnDigest();
   changed.configuration_version = 9;
-  std::set<ProcessId> told;
+  std::set<ProcessId> notified;
   for (std::int32_t i = 0; i < 30; ++i) {
     Actions actions;
     cell.now += 10ms;
     membership.Tick(cell.now, changed, &actions);
     for (const auto& action : actions) {
-      told.insert(std::get<SendDigest>(action).peer);
+      notified.insert(std::get<SendDigest>(action).peer);
     }
   }
-  BOOST_TEST(told.size() == 7U);
+  BOOST_TEST(notified.size() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(quiet_heartbeats_of_eight_members_stay_in_their_budget) {
-  // Story: heartbeats each 500 ms between 8 members take 4.5 KB a second of
-  // each, more than all control messages together may.
+BOOST_AUTO_TEST_CASE(idle_heartbeats_of_eight_members_stay_in_their_budget) {
+  // Failure: heartbeats every 500 ms between 8 members use 4.5 KB per second
+  // for each of them, more than the limit for all control messages together.
   const std::vector<std::string> names{"a", "b", "c", "d", "e", "f", "g", "h"};
   OwnershipCell cell(names, 1);
   cell.StartAll();
@@ -176,7 +177,8 @@
   cell.Run(60s);
   std::int32_t sent = -before;
   for (const std::string& name : names) sent += cell.At(name).heartbeats;
-  // Each exchange is sent by one and answered by another, 320 bytes with both.
+  // Each exchange is sent by one member and answered by another; both messages
+  // together have 320 bytes.
   const std::int32_t bytes_per_member = sent * 2 * 320 / 60 / 8;
   BOOST_TEST_MESSAGE("bytes a second of each: " << bytes_per_member);
   BOOST_TEST(bytes_per_member <= 1000);
--- a/packages/core/tests/ownership_cell.h
+++ b/packages/core/tests/ownership_cell.h
@@ -22,12 +22,12 @@
 inline constexpr std::size_t kSlots = 8;
 inline constexpr Duration kRunTime = 400ms;
 inline constexpr Duration kStep = 10ms;
-/// One way, between any two.
+/// One-way latency between any two participants.
 inline constexpr Duration kLatency = 2ms;
-/// Time after which an unanswered call is reported unreachable.
+/// Time after which an unanswered call is reported as unreachable.
 inline constexpr Duration kCallTimeout = 800ms;
 
-/// Who an attach or start comes from.
+/// Sender of an attach or a start.
 struct Sender {
   ProcessId process;
   Incarnation incarnation = 0;
@@ -35,9 +35,9 @@
   friend bool operator==(const Sender&, const Sender&) = default;
 };
 
-/// A worker's rules for its lease, as docs/PROTOCOLS.md states them. It counts
-/// what runs but refuses nothing for lack of room, so that overcommitting it
-/// shows.
+/// Model of a worker that follows the lease rules in docs/PROTOCOLS.md. It
+/// counts running tasks but refuses none for lack of resources, so that
+/// overcommitment becomes visible.
 class ModelWorker {
  public:
   explicit ModelWorker(WorkerDescription description)
@@ -74,7 +74,7 @@
     this->peak = std::max(this->peak, this->Running(now).size());
     return true;
   }
-  /// The host starts anew: everything that ran or was known is gone.
+  /// Simulates a restart of the host: all tasks and all state are lost.
   void Restart() {
     *this = ModelWorker(this->description);
     ++this->incarnation;
@@ -124,8 +124,8 @@
   std::map<std::uint64_t, Instant> tasks;
 };
 
-/// One entry process as far as membership and ownership go. It starts as many
-/// tasks as it believes to fit when `places` is set.
+/// Model of an entry process that is limited to membership and ownership. It
+/// starts as many tasks as it believes to fit when `places_tasks` is set.
 struct ModelProcess {
   ModelProcess(const PeerDescription& self,
                const std::vector<PeerDescription>& peers,
@@ -149,13 +149,13 @@
   Sender sender;
   bool alive = true;
   bool paused = false;
-  bool places = false;
+  bool places_tasks = false;
   std::int32_t started = 0;
   std::int32_t calls = 0;
   std::int32_t heartbeats = 0;
-  /// Tasks that it counts on each worker it owns.
+  /// Tasks that the process counts on each worker that it owns.
   std::map<WorkerId, std::set<std::uint64_t>> ledger;
-  /// Events that wait for it while it is paused.
+  /// Events that are queued while the process is paused.
   std::vector<std::function<void()>> inbox;
 };
 
@@ -199,7 +199,7 @@
   ModelProcess& At(const std::string& name) { return *this->processes[name]; }
   ModelWorker& Worker(std::size_t i) { return *this->workers[i]; }
 
-  /// Nothing passes between the two any more, until `Heal`.
+  /// Blocks all messages between the two until `Heal` is called.
   void Cut(const std::string& a, const std::string& b) {
     this->cuts.insert(a + b);
     this->cuts.insert(b + a);
@@ -219,7 +219,7 @@
       this->now += kStep;
       this->Deliver();
       for (auto& [name, process] : this->processes) {
-        if (process->alive && !process->paused) this->Drive(process.get());
+        if (process->alive && !process->paused) this->RunProcess(process.get());
       }
       if (each) each();
     }
@@ -230,7 +230,7 @@
     std::size_t count = 0;
     for (const auto& worker : this->workers) {
       const WorkerId& id = worker->description.id;
-      if (this->At(name).ownership.Owned(this->now, id)) ++count;
+      if (this->At(name).ownership.OwnedForStart(this->now, id)) ++count;
     }
     return count;
   }
@@ -240,7 +240,8 @@
       const ProcessId owner =
           any.membership.PreferredOwner(worker->description.rack);
       ModelProcess& process = this->At(owner.Text());
-      return process.ownership.Owned(this->now, worker->description.id) &&
+      return process.ownership.OwnedForStart(this->now,
+                                             worker->description.id) &&
              worker->holder == process.sender;
     });
   }
@@ -257,7 +258,8 @@
     return attaches;
   }
   [[nodiscard]] std::int32_t Refusals() const { return this->refusals; }
-  /// Sends a start as an old message may arrive: whatever happened since.
+  /// Sends a start directly to the worker, like a delayed message that arrives
+  /// regardless of what has happened since.
   bool StartAt(std::size_t worker, Epoch epoch) {
     return this->workers[worker]->Start(this->now, epoch, ++this->last_task,
                                         this->options.lease);
@@ -274,7 +276,7 @@
     name.front() = 'w';
     return name;
   }
-  void Later(Duration delay, std::function<void()> event) {
+  void ScheduleEvent(Duration delay, std::function<void()> event) {
     this->queue.emplace(this->now + delay, std::move(event));
   }
   void Deliver() {
@@ -287,7 +289,7 @@
   [[nodiscard]] bool Linked(const std::string& a, const std::string& b) const {
     return !this->cuts.contains(a + b);
   }
-  static void Tell(ModelProcess* process, std::function<void()> event) {
+  static void DeliverTo(ModelProcess* process, std::function<void()> event) {
     if (!process->alive) return;
     if (process->paused) {
       process->inbox.push_back(std::move(event));
@@ -296,16 +298,16 @@
     }
   }
 
-  void Drive(ModelProcess* process) {
+  void RunProcess(ModelProcess* process) {
     Actions actions;
     const Digest digest = process->OwnDigest();
     if (process->membership.NextWakeup() <= this->now) {
       process->membership.Tick(this->now, digest, &actions);
     }
-    (void)process->membership.TakeLost(this->now);
+    (void)process->membership.TakeLostPeers(this->now);
     process->ownership.Tick(this->now, process->membership, &actions);
     for (const Action& action : actions) this->Perform(process, action);
-    if (process->places) this->Place(process);
+    if (process->places_tasks) this->Place(process);
   }
 
   void Perform(ModelProcess* process, const Action& action) {
@@ -327,17 +329,17 @@
     const std::string from = process->sender.process.Text();
     const bool arrives = this->Linked(from, to) && this->processes.contains(to);
     if (!arrives || !this->At(to).alive || this->At(to).paused) {
-      return this->Later(kCallTimeout, [=, this] {
-        Tell(process, [=, this] {
+      return this->ScheduleEvent(kCallTimeout, [=, this] {
+        DeliverTo(process, [=, this] {
           process->membership.OnUnreachable(this->now, action.peer);
         });
       });
     }
-    this->Later(kLatency, [=, this] {
+    this->ScheduleEvent(kLatency, [=, this] {
       ModelProcess* peer = this->processes[to].get();
       (void)peer->membership.OnDigest(this->now, action.digest);
       const Digest answer = peer->OwnDigest();
-      Tell(process, [=, this] {
+      DeliverTo(process, [=, this] {
         (void)process->membership.OnDigest(this->now, answer);
       });
     });
@@ -390,26 +392,26 @@
     const bool reached =
         this->Linked(process->sender.process.Text(), worker.Text());
     if (!reached) {
-      return this->Later(kCallTimeout, [=, this] {
-        Tell(process, [=, this] {
+      return this->ScheduleEvent(kCallTimeout, [=, this] {
+        DeliverTo(process, [=, this] {
           if (process->ownership.OnUnreachable(this->now, worker)) {
             process->ledger.erase(worker);
           }
         });
       });
     }
-    this->Later(kLatency, [=, this] {
+    this->ScheduleEvent(kLatency, [=, this] {
       ModelWorker& target = this->Find(worker);
       ++target.calls;
       const std::function<void()> answer = call(target);
-      this->Later(kLatency, [=] { Tell(process, answer); });
+      this->ScheduleEvent(kLatency, [=] { DeliverTo(process, answer); });
     });
   }
 
   void Place(ModelProcess* process) {
     for (const auto& worker : this->workers) {
       const WorkerId& id = worker->description.id;
-      const auto owned = process->ownership.Owned(this->now, id);
+      const auto owned = process->ownership.OwnedForStart(this->now, id);
       if (!owned || process->ledger[id].size() >= kSlots) continue;
       const std::uint64_t task = ++this->last_task;
       process->ledger[id].insert(task);
@@ -420,20 +422,23 @@
   void SendStart(ModelProcess* process, const WorkerId& worker, Epoch epoch,
                  std::uint64_t task) {
     const auto ended = [=, this](bool ran) {
-      Tell(process, [=, this] {
+      DeliverTo(process, [=, this] {
         process->ledger[worker].erase(task);
-        if (ran) process->ownership.OnTraffic(this->now, worker);
+        if (ran) process->ownership.OnStartAnswered(this->now, worker);
         if (!ran) process->ownership.OnStartRefused(this->now, worker);
       });
     };
     const bool reached =
         this->Linked(process->sender.process.Text(), worker.Text());
-    if (!reached) return this->Later(kCallTimeout, [=] { ended(false); });
-    this->Later(kLatency, [=, this] {
+    if (!reached) {
+      return this->ScheduleEvent(kCallTimeout, [=] { ended(false); });
+    }
+    this->ScheduleEvent(kLatency, [=, this] {
       const bool ran =
           this->Find(worker).Start(this->now, epoch, task, this->options.lease);
       if (ran) ++process->started;
-      this->Later(ran ? kRunTime + kLatency : kLatency, [=] { ended(ran); });
+      this->ScheduleEvent(ran ? kRunTime + kLatency : kLatency,
+                          [=] { ended(ran); });
     });
   }
 
--- a/packages/core/tests/retry_budget_test.cc
+++ b/packages/core/tests/retry_budget_test.cc
@@ -8,10 +8,10 @@
 
 BOOST_AUTO_TEST_SUITE(retry_budget)
 
-BOOST_AUTO_TEST_CASE(retries_follow_a_tenth_of_the_traffic) {
-  // Story: every worker of the cell fails every request. Each failure asks for
-  // a retry, so without a limit the cell would get a multiple of its load just
-  // when it is sick. 1,000 requests a second arrive for 10 s.
+BOOST_AUTO_TEST_CASE(retries_are_limited_to_a_tenth_of_the_traffic) {
+  // Failure: every worker of the cell fails every request. Each failure asks
+  // for a retry, so without a limit the retries would multiply the load of the
+  // failing cell. 1,000 requests per second arrive for 10 s.
   RetryBudget budget(0.1, 1);
   std::int32_t retries = 0;
   for (std::int32_t i = 0; i < 10'000; ++i) {
@@ -20,11 +20,11 @@
     while (budget.TryRetry(now)) ++retries;
   }
   BOOST_TEST(retries >= 1000);
-  // The minimum of one a second and the first second's come on top.
+  // The minimum of one per second and the initial token are added.
   BOOST_TEST(retries <= 1012);
 }
 
-BOOST_AUTO_TEST_CASE(a_quiet_cell_may_still_retry) {
+BOOST_AUTO_TEST_CASE(retries_are_allowed_at_low_traffic) {
   RetryBudget budget(0.1, 2);
   std::int32_t retries = 0;
   for (std::int32_t second = 0; second < 60; ++second) {
@@ -43,16 +43,17 @@
   BOOST_TEST(!budget.TryRetry(Instant(5s)));
 }
 
-BOOST_AUTO_TEST_CASE(a_long_quiet_time_saves_up_no_flood) {
-  // Story: after a calm night the first fault of the morning fails hundreds of
-  // requests at once. Saved-up tokens of the night must not all be spent then.
+BOOST_AUTO_TEST_CASE(idle_time_accumulates_a_bounded_number_of_retries) {
+  // Failure: after hours without traffic, the first fault fails hundreds of
+  // requests at once. The retries must not all be paid from tokens that
+  // accumulated during the idle time.
   RetryBudget budget(0.1, 1);
   std::int32_t retries = 0;
   while (budget.TryRetry(Instant(8h))) ++retries;
   BOOST_TEST(retries == 5);
 }
 
-BOOST_AUTO_TEST_CASE(traffic_saves_up_no_more_than_its_burst) {
+BOOST_AUTO_TEST_CASE(traffic_accumulates_at_most_its_burst) {
   RetryBudget budget(0.1, 1);
   for (std::int32_t i = 0; i < 100'000; ++i) budget.OnRequest(Instant(1s));
   std::int32_t retries = 0;
--- a/packages/core/tests/scheduler_admission_test.cc
+++ b/packages/core/tests/scheduler_admission_test.cc
@@ -26,7 +26,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_admission, Cell)
 
-BOOST_AUTO_TEST_CASE(what_never_fits_is_refused_and_named) {
+BOOST_AUTO_TEST_CASE(requests_that_never_fit_are_refused_with_the_resource) {
   const Admission wide = this->Enqueue("q", "wide");
   BOOST_TEST(wide.refusal == Error::kNeverFits);
   BOOST_TEST(wide.detail ==
@@ -37,7 +37,7 @@
   BOOST_TEST(gang.detail.find("17 tasks") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_quota_that_can_never_be_met_is_refused) {
+BOOST_AUTO_TEST_CASE(a_request_larger_than_its_quota_is_refused) {
   this->AddService("five", "work", kSmallTask, 5);
   this->Configure();
   const Admission refused = this->Enqueue("q", "five", "b");
@@ -46,20 +46,21 @@
              "the request needs 5 slots; the quota of team b is 4");
 }
 
-BOOST_AUTO_TEST_CASE(without_a_worker_it_says_so) {
-  this->ledger.Close(WorkerId("w0"));
-  this->ledger.Close(WorkerId("w1"));
+BOOST_AUTO_TEST_CASE(a_process_without_workers_refuses_requests) {
+  this->ledger.RemoveWorker(WorkerId("w0"));
+  this->ledger.RemoveWorker(WorkerId("w1"));
   BOOST_TEST(this->Enqueue("q", "task").refusal == Error::kNoWorker);
 }
 
-BOOST_AUTO_TEST_CASE(strangers_and_unknown_services_are_refused) {
+BOOST_AUTO_TEST_CASE(unknown_teams_and_services_are_refused) {
   BOOST_TEST(this->Enqueue("q", "none").refusal == Error::kUnknownService);
   BOOST_TEST(this->Enqueue("q", "task", "x").refusal == Error::kUnknownTeam);
 }
 
-// A caller is told to wait and then gives up anyway. The cell is full of tasks
-// of one second, and more are queued than go in the five seconds allowed. The
-// refusal must come on arrival and say when to come back.
+// Failure: a request is queued although its wait exceeds the limit, and its
+// caller gives up after waiting. The cell is full of 1 s tasks, and more
+// requests arrive than can start within the allowed 5 s. The request must be
+// refused on arrival with a retry delay.
 BOOST_AUTO_TEST_CASE(a_wait_that_is_too_long_is_refused_on_arrival) {
   int accepted = 0;
   Admission refused;
@@ -69,7 +70,7 @@
     if (!refused.refusal) ++accepted;
   }
   BOOST_TEST(refused.refusal == Error::kWaitTooLong);
-  // 16 run and 16 start per second.
+  // 16 tasks run at a time, and 16 start per second.
   BOOST_TEST(accepted >= 16 + 5 * 16 - 2);
   BOOST_TEST(accepted <= 16 + 5 * 16 + 2);
   BOOST_TEST((refused.retry_after >= std::chrono::seconds(1)));
@@ -79,10 +80,10 @@
 BOOST_AUTO_TEST_CASE(the_forecast_follows_the_measured_drain) {
   this->EnqueueMany("q", 90, "task");
   std::vector<Placement> running = this->Schedule();
-  // Tasks were declared to take 1 s and take 100 ms.
+  // The declared run time is 1 s; the measured one is 100 ms.
   for (int round = 0; round < 4; ++round) {
     this->now += std::chrono::milliseconds(100);
-    for (const Placement& placed : running) this->Done(placed.task);
+    for (const Placement& placed : running) this->EndTask(placed.task);
     running = this->Schedule();
   }
   const Duration wait =
--- a/packages/core/tests/scheduler_basic_test.cc
+++ b/packages/core/tests/scheduler_basic_test.cc
@@ -12,7 +12,7 @@
 constexpr Resources kTask{2000, 4000, 0, 1};
 const Instant kStart{std::chrono::seconds(100)};
 
-// Built by append: GCC 12 warns wrongly about `"x" + std::to_string(i)`.
+// Uses append: GCC 12 reports a false positive for `"x" + std::to_string(i)`.
 std::string Numbered(const char* prefix, int number) {
   return std::string(prefix).append(std::to_string(number));
 }
@@ -51,7 +51,7 @@
     WorkerReport report;
     report.worker = worker.id;
     report.capacity = kCapacity;
-    this->ledger.Open(worker, report);
+    this->ledger.AddWorker(worker, report);
   }
 
   Admission Enqueue(const std::string& request, const std::string& service,
@@ -61,7 +61,7 @@
     queued.service = ServiceId(service);
     queued.team = TeamId(team);
     queued.arrived = kStart;
-    queued.place_by = kStart + std::chrono::seconds(10);
+    queued.placement_deadline = kStart + std::chrono::seconds(10);
     return this->scheduler.Enqueue(kStart, this->ledger, queued);
   }
 
@@ -83,25 +83,25 @@
   BOOST_TEST(placed[0].worker == WorkerId("w"));
   BOOST_TEST(this->Schedule().empty());
   BOOST_TEST(this->scheduler.RunningCount() == 1);
-  this->scheduler.TaskDone(kStart, &this->ledger, TaskId("q1/0/1"), true);
+  this->scheduler.OnTaskEnded(kStart, &this->ledger, TaskId("q1/0/1"), true);
   BOOST_TEST(this->scheduler.RunningCount() == 0);
   BOOST_TEST((this->ledger.TotalFree() == kCapacity));
 }
 
-BOOST_AUTO_TEST_CASE(the_impossible_is_refused_on_arrival) {
+BOOST_AUTO_TEST_CASE(impossible_requests_are_refused_on_arrival) {
   BOOST_TEST(this->Enqueue("q1", "none").refusal == Error::kUnknownService);
   BOOST_TEST(this->Enqueue("q2", "screen", "b").refusal == Error::kUnknownTeam);
   BOOST_TEST(this->Enqueue("q3", "huge").refusal == Error::kNeverFits);
   BOOST_TEST(this->scheduler.QueuedCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_is_placed_whole_or_not_at_all) {
+BOOST_AUTO_TEST_CASE(a_gang_is_placed_completely_or_not_at_all) {
   for (int i = 0; i < 5; ++i) {
     BOOST_TEST(!this->Enqueue(Numbered("s", i), "screen").refusal);
   }
   BOOST_TEST(!this->Enqueue("g", "match").refusal);
   BOOST_TEST(this->Schedule().size() == 5);
-  this->scheduler.TaskDone(kStart, &this->ledger, TaskId("s0/0/1"), true);
+  this->scheduler.OnTaskEnded(kStart, &this->ledger, TaskId("s0/0/1"), true);
   BOOST_TEST(this->Schedule().size() == 4);
 }
 
@@ -112,7 +112,7 @@
   BOOST_TEST(this->Schedule().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_past_its_time_is_handed_back) {
+BOOST_AUTO_TEST_CASE(a_request_past_its_deadline_expires) {
   BOOST_TEST(!this->Enqueue("q", "screen").refusal);
   BOOST_TEST(
       (this->scheduler.NextWakeup() == kStart + std::chrono::seconds(10)));
@@ -122,7 +122,7 @@
   BOOST_TEST(this->scheduler.QueuedCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(urgent_work_names_victims_once) {
+BOOST_AUTO_TEST_CASE(an_urgent_request_selects_one_victim) {
   for (int i = 0; i < 8; ++i) {
     BOOST_TEST(!this->Enqueue(Numbered("b", i), "rota").refusal);
   }
--- a/packages/core/tests/scheduler_fair_share_test.cc
+++ b/packages/core/tests/scheduler_fair_share_test.cc
@@ -30,14 +30,14 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_fair_share, Cell)
 
-// A small team's request waits for minutes behind a large customer's backlog.
-// The large team has queued hundreds of requests first; the small team's single
-// request comes last. The cause would be one queue in order of arrival.
+// Failure: the request of a small team waits for minutes behind the backlog of
+// a large customer, because all teams share one queue in order of arrival. The
+// large team has queued hundreds of requests before the small team's only one.
 BOOST_AUTO_TEST_CASE(a_small_team_goes_before_a_large_backlog) {
   this->EnqueueMany("a", 500, "task", "a");
   BOOST_TEST(this->Schedule().size() == 32);
   BOOST_TEST(!this->Enqueue("b0", "task", "b").refusal);
-  this->Done(TaskId("a0/0/1"));
+  this->EndTask(TaskId("a0/0/1"));
   const auto placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
   BOOST_TEST(placed[0].request == RequestId("b0"));
@@ -55,7 +55,7 @@
   this->EnqueueMany("a", 100, "heavy", "a");
   this->EnqueueMany("b", 100, "task", "b");
   const auto counts = this->CountByTeam(this->Schedule());
-  // 4000 MB of 32000 weigh as much as 4 slots of 32.
+  // 4000 MB of 32000 MB are the same share as 4 slots of 32.
   BOOST_TEST(counts.at('b') >= 3 * counts.at('a'));
 }
 
@@ -67,19 +67,19 @@
   auto counts = this->CountByTeam(this->Schedule());
   BOOST_TEST(counts['a'] == 5);
   BOOST_TEST(counts['b'] == 3);
-  this->Done(TaskId("a0/0/1"));
+  this->EndTask(TaskId("a0/0/1"));
   BOOST_TEST(this->CountByTeam(this->Schedule())['a'] == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_task_found_at_a_takeover_counts_against_its_team) {
   this->AddTeam("a").quota = {0, 0, 0, 1};
   this->Configure();
-  this->scheduler.TaskFound(this->now, TaskId("old/0/1"), RequestId("old"),
-                            ServiceId("task"), TeamId("a"), WorkerId("w0"),
-                            std::chrono::seconds(1));
+  this->scheduler.AdoptRunningTask(
+      this->now, TaskId("old/0/1"), RequestId("old"), ServiceId("task"),
+      TeamId("a"), WorkerId("w0"), std::chrono::seconds(1));
   BOOST_TEST(!this->Enqueue("a0", "task", "a").refusal);
   BOOST_TEST(this->Schedule().empty());
-  this->Done(TaskId("old/0/1"));
+  this->EndTask(TaskId("old/0/1"));
   BOOST_TEST(this->Schedule().size() == 1);
 }
 
--- a/packages/core/tests/scheduler_gang_test.cc
+++ b/packages/core/tests/scheduler_gang_test.cc
@@ -29,10 +29,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_gang, Cell)
 
-// A gang never starts although the cell turns over all the time. Small tasks
-// of 16 s end one by one and new ones arrive at once. The cause would be that
-// each gap goes to the next small task before the gang's room has come
-// together.
+// Failure: a gang starves while tasks keep ending, because each gap goes to the
+// next small task before enough capacity for the gang is free. Small tasks of
+// 16 s end one by one, and new ones arrive immediately.
 BOOST_AUTO_TEST_CASE(small_tasks_do_not_starve_a_gang) {
   constexpr int kRunSeconds = 16;
   constexpr int kGangArrives = 40;
@@ -40,7 +39,7 @@
   std::map<int, TaskId> ends;
   for (int i = 0; i < 80; ++i) {
     this->now += std::chrono::seconds(1);
-    if (ends.contains(i)) this->Done(ends[i]);
+    if (ends.contains(i)) this->EndTask(ends[i]);
     (void)this->Enqueue(Numbered("s", i), "small");
     if (i == kGangArrives) (void)this->Enqueue("gang", "gang");
     for (const Placement& placed : this->Schedule()) {
@@ -52,7 +51,8 @@
     }
     if (gang_started != 0) break;
   }
-  // Twelve tasks must end, one in a second; estimates are in steps of 19 %.
+  // Twelve tasks must end, one per second; run time estimates have a resolution
+  // of 19 %.
   BOOST_TEST(gang_started >= kGangArrives + 11);
   BOOST_TEST(gang_started <= kGangArrives + 16);
 }
@@ -68,7 +68,7 @@
   BOOST_TEST(this->Schedule().size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_cancelled_gang_gives_its_room_back) {
+BOOST_AUTO_TEST_CASE(a_cancelled_gang_releases_its_reservation) {
   this->EnqueueMany("s", 12, "small");
   (void)this->Schedule();
   (void)this->Enqueue("gang", "gang");
@@ -86,8 +86,8 @@
   for (int i = 0; i < 200 && !started; ++i) {
     this->now += std::chrono::milliseconds(500);
     (void)this->Enqueue(Numbered("t", i), "small");
-    this->Done(TaskId(i < 16 ? Numbered("s", i) + "/0/1"
-                             : Numbered("t", i - 16) + "/0/1"));
+    this->EndTask(TaskId(i < 16 ? Numbered("s", i) + "/0/1"
+                                : Numbered("t", i - 16) + "/0/1"));
     for (const Placement& placed : this->Schedule()) {
       started = started || placed.request == RequestId("whole");
     }
@@ -95,7 +95,7 @@
   BOOST_TEST(started);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_larger_than_the_limit_is_still_placed_whole) {
+BOOST_AUTO_TEST_CASE(a_gang_larger_than_the_limit_is_placed_completely) {
   (void)this->Enqueue("gang", "gang");
   BOOST_TEST(this->Schedule(4).size() == 12);
 }
--- a/packages/core/tests/scheduler_guarantee_test.cc
+++ b/packages/core/tests/scheduler_guarantee_test.cc
@@ -12,7 +12,7 @@
 using test::kSmallTask;
 using test::TestCell;
 
-/// 32 slots; less than 5 of them are 15 %.
+/// 32 slots; the guaranteed share of 15 % is just under 5 of them.
 struct Cell : TestCell {
   Cell() : TestCell(4) {
     this->AddProfile("urgent", 0);
@@ -25,7 +25,7 @@
     this->AddTeam("a");
     this->Configure();
   }
-  /// @return how many placements are of requests whose id begins so
+  /// @return number of placements of requests whose id starts with `prefix`
   static std::int64_t CountOf(const std::vector<Placement>& placements,
                               const std::string& prefix) {
     return std::ranges::count_if(placements, [&](const Placement& placed) {
@@ -36,10 +36,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(scheduler_guarantee, Cell)
 
-// A batch is accepted and never starts, for as long as the day is busy.
-// Standard requests arrive faster than the cell can run them, and the batch
-// waits behind. The cause would be that the lower priority gets only leftovers,
-// and there are none.
+// Failure: deferred requests are accepted but never start, because standard
+// requests arrive faster than the cell can run them and the lower priority gets
+// only unused capacity.
 BOOST_AUTO_TEST_CASE(deferred_work_gets_its_share_beside_standard_work) {
   this->EnqueueMany("s", 500, "review");
   this->EnqueueMany("d", 100, "rota");
@@ -48,15 +47,15 @@
   BOOST_TEST(this->CountOf(placed, "d") == 5);
 }
 
-BOOST_AUTO_TEST_CASE(above_its_share_the_lower_priority_yields) {
+BOOST_AUTO_TEST_CASE(above_its_share_a_lower_priority_gets_no_preference) {
   this->EnqueueMany("s", 500, "review");
   this->EnqueueMany("d", 100, "rota");
   (void)this->Schedule();
-  this->Done(TaskId("s0/0/1"));
+  this->EndTask(TaskId("s0/0/1"));
   auto placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
   BOOST_TEST(this->CountOf(placed, "s") == 1);
-  this->Done(TaskId("d0/0/1"));
+  this->EndTask(TaskId("d0/0/1"));
   placed = this->Schedule();
   BOOST_REQUIRE(placed.size() == 1);
   BOOST_TEST(this->CountOf(placed, "d") == 1);
@@ -70,17 +69,17 @@
   BOOST_TEST(this->CountOf(placed, "u") == 32);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_rival_no_share_is_kept_back) {
+BOOST_AUTO_TEST_CASE(an_idle_priority_reserves_no_share) {
   this->EnqueueMany("s", 100, "review");
   BOOST_TEST(this->Schedule().size() == 32);
 }
 
-// A deferred gang never starts, and single deferred tasks wait behind it. It
-// holds the reservation, but each slot that comes free goes to a standard
-// request before room for four has come together. The cause would be that
-// standard work outranks the reservation although the gang's priority has less
-// than its share.
-BOOST_AUTO_TEST_CASE(a_gang_below_its_share_gathers_room_from_standard_work) {
+// Failure: a deferred gang that holds the reservation never starts, and single
+// deferred tasks wait behind it, because standard work outranks the reservation
+// although the gang's priority is below its guaranteed share. Each released
+// slot then goes to a standard request before four slots are free.
+BOOST_AUTO_TEST_CASE(
+    a_gang_below_its_share_reserves_capacity_against_standard_work) {
   this->EnqueueMany("s", 500, "review");
   std::deque<TaskId> running;
   for (const Placement& placed : this->Schedule()) {
@@ -90,7 +89,7 @@
   bool started = false;
   for (int i = 0; i < 20 && !started; ++i) {
     this->now += std::chrono::seconds(1);
-    this->Done(running.front());
+    this->EndTask(running.front());
     running.pop_front();
     const auto placed = this->Schedule();
     started = this->CountOf(placed, "gang") == 4;
--- a/packages/core/tests/scheduler_test_cell.h
+++ b/packages/core/tests/scheduler_test_cell.h
@@ -9,27 +9,27 @@
 
 namespace mustardproxy::test {
 
-// Built by append: GCC 12 warns wrongly about `"x" + std::to_string(i)`.
+// Uses append: GCC 12 reports a false positive for `"x" + std::to_string(i)`.
 inline std::string Numbered(const char* prefix, int number) {
   return std::string(prefix).append(std::to_string(number));
 }
 
-/// A scheduler and ledger with workers of 8 slots, 8000 cpu_milli and 8000 MB,
-/// on a clock that tests move by hand.
+/// A scheduler and a ledger with workers of 8 slots, 8000 cpu_milli and 8000
+/// MB, and a clock that is advanced by the tests.
 class TestCell {
  public:
   explicit TestCell(int workers) {
-    for (int i = 0; i < workers; ++i) this->OpenWorker(Numbered("w", i));
+    for (int i = 0; i < workers; ++i) this->AddWorker(Numbered("w", i));
   }
 
-  void OpenWorker(const std::string& id) {
+  void AddWorker(const std::string& id) {
     WorkerDescription worker;
     worker.id = WorkerId(id);
     worker.rack = RackId("r");
     WorkerReport report;
     report.worker = worker.id;
     report.capacity = {8000, 8000, 0, 8};
-    this->ledger.Open(worker, report);
+    this->ledger.AddWorker(worker, report);
   }
 
   Profile& AddProfile(const char* id, std::int32_t priority,
@@ -62,14 +62,14 @@
 
   Admission Enqueue(const std::string& request, const char* service,
                     const char* team = "a",
-                    Duration patience = std::chrono::minutes(10),
+                    Duration place_within = std::chrono::minutes(10),
                     bool recovered = false) {
     QueuedRequest queued;
     queued.request = RequestId(request);
     queued.service = ServiceId(service);
     queued.team = TeamId(team);
     queued.arrived = this->now;
-    queued.place_by = this->now + patience;
+    queued.placement_deadline = this->now + place_within;
     return this->scheduler.Enqueue(this->now, this->ledger, std::move(queued),
                                    recovered);
   }
@@ -85,8 +85,8 @@
     return this->scheduler.Schedule(this->now, &this->ledger, limit);
   }
 
-  void Done(const TaskId& task) {
-    this->scheduler.TaskDone(this->now, &this->ledger, task, true);
+  void EndTask(const TaskId& task) {
+    this->scheduler.OnTaskEnded(this->now, &this->ledger, task, true);
   }
 
   Configuration configuration;
--- a/packages/jobs/src/guard.h
+++ b/packages/jobs/src/callback_guard.h
@@ -1,17 +1,17 @@
-#ifndef MUSTARDPROXY_JOBS_GUARD_H_
-#define MUSTARDPROXY_JOBS_GUARD_H_
+#ifndef MUSTARDPROXY_JOBS_CALLBACK_GUARD_H_
+#define MUSTARDPROXY_JOBS_CALLBACK_GUARD_H_
 
 #include <memory>
 #include <utility>
 
 namespace mustardproxy::jobs {
 
-/// Lets callbacks outlive the object that they belong to: those made by `Wrap`
-/// do nothing once the guard is gone.
+/// Lets callbacks outlive the object that they belong to: callbacks made by
+/// `Wrap` do nothing after the guard is destroyed.
 ///
-/// Failure guarded against: an owner steps down while its calls are under way;
-/// their answers would reach freed memory.
-class Guard {
+/// Failure guarded against: an owner steps down while calls are in flight, and
+/// their answers access freed memory.
+class CallbackGuard {
  public:
   template <typename Function>
   [[nodiscard]] auto Wrap(Function function) const {
@@ -28,4 +28,4 @@
 
 }  // namespace mustardproxy::jobs
 
-#endif  // MUSTARDPROXY_JOBS_GUARD_H_
+#endif  // MUSTARDPROXY_JOBS_CALLBACK_GUARD_H_
--- a/packages/jobs/src/cell_member.cc
+++ b/packages/jobs/src/cell_member.cc
@@ -13,21 +13,21 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Pause before a process stands for election, for each that is preferred to
-/// it: a round trip to the store and some, so that the first one has won by
-/// then and the others see it.
+/// Delay before a process runs for election, per process preferred to it: more
+/// than a round trip to the store, so that the preferred one has won and the
+/// others have seen it.
 constexpr Duration kElectionStagger = milliseconds(60);
 constexpr std::size_t kMaxStaggers = 5;
 
-/// Stronger hosts are preferred as owners; the name decides between equals.
-bool Preferred(const NodeRecord& a, const NodeRecord& b) {
+/// Larger hosts are preferred as owners; ties are broken by name.
+bool IsPreferredOwner(const NodeRecord& a, const NodeRecord& b) {
   return std::make_tuple(-a.cpu_milli, -a.memory_mb, a.name) <
          std::make_tuple(-b.cpu_milli, -b.memory_mb, b.name);
 }
 
-/// While hosts are restarted in turn, those that came last will not be stopped
-/// again soon, and the group changes hands less often.
-bool BetterSuccessor(const Registration& a, const Registration& b) {
+/// During a rolling restart, the processes that joined last will not be stopped
+/// again soon. Preferring them reduces the number of ownership changes.
+bool IsBetterSuccessor(const Registration& a, const Registration& b) {
   return std::make_tuple(-a.node.cpu_milli, -a.node.memory_mb, -a.revision) <
          std::make_tuple(-b.node.cpu_milli, -b.node.memory_mb, -b.revision);
 }
@@ -41,54 +41,55 @@
       log(log),
       self(std::move(self)),
       handlers(std::move(handlers)),
-      mirror(executor, store, log,
-             {.prefix = std::string(keys::kCell), .pause = Duration::zero()},
-             {.on_change = [this](const StoreEvent& e) { this->OnCell(e); },
-              .on_listed = [this] { this->ConsiderElection(); }}) {}
+      mirror(
+          executor, store, log,
+          {.prefix = std::string(keys::kCell), .pause = Duration::zero()},
+          {.on_change = [this](const StoreEvent& e) { this->OnCellEvent(e); },
+           .on_listed = [this] { this->ConsiderElection(); }}) {}
 
 void CellMember::Start() {
-  this->Acquire();
+  this->AcquireLease();
   this->mirror.Start();
 }
 
 bool CellMember::StoreAnswers() const {
   return this->lease != 0 && !this->refused &&
-         this->executor->Now() < this->renewed_at + kStoreSilent;
+         this->executor->Now() < this->renewed_at + kStoreSilenceTimeout;
 }
 
 Instant CellMember::StoreAliveAt() const {
-  return std::max(this->renewed_at, this->mirror.FreshAt());
+  return std::max(this->renewed_at, this->mirror.LastAnsweredCallAt());
 }
 
-void CellMember::Acquire() {
+void CellMember::AcquireLease() {
   if (this->leaving) return;
-  const Instant asked = this->executor->Now();
+  const Instant sent_at = this->executor->Now();
   this->store->GrantLease(
       kStoreLease,
-      this->guard.Wrap([this, asked](const Result<StoreLease>& granted) {
-        this->OnLease(asked, granted);
+      this->guard.Wrap([this, sent_at](const Result<StoreLease>& granted) {
+        this->OnLease(sent_at, granted);
       }));
 }
 
-void CellMember::OnLease(Instant asked, const Result<StoreLease>& granted) {
+void CellMember::OnLease(Instant sent_at, const Result<StoreLease>& granted) {
   if (this->leaving) return;
   if (!granted) {
-    // Tried many times a second while the store is away: told of once.
+    // Retried many times a second while the store is unavailable; logged once.
     if (!std::exchange(this->grant_failing, true)) {
       this->log->Write("cell", "lease-not-granted",
                        {{"reason", granted.error().message()}});
     }
-    this->executor->After(kStoreRetry,
-                          this->guard.Wrap([this] { this->Acquire(); }));
+    this->executor->After(kStoreRetryDelay,
+                          this->guard.Wrap([this] { this->AcquireLease(); }));
     return;
   }
   this->lease = granted.value().id;
-  this->renewed_at = asked;
+  this->renewed_at = sent_at;
   this->refused = false;
   this->grant_failing = false;
   this->log->Write("cell", "lease-granted", {{"lease", this->lease}});
   this->Register();
-  this->RenewLater();
+  this->ScheduleRenewal();
   this->ConsiderElection();
 }
 
@@ -101,18 +102,18 @@
       std::move(transaction),
       this->guard.Wrap([this, used](const CommitResult& result) {
         if (used != this->lease || this->leaving) return;
-        if (result.end == CommitEnd::kCommitted) return;
-        if (result.end == CommitEnd::kLeaseGone) {
-          this->LoseLease("lapsed before registration");
+        if (result.end == CommitOutcome::kCommitted) return;
+        if (result.end == CommitOutcome::kLeaseNotFound) {
+          this->LoseLease("expired before registration");
           return;
         }
-        this->executor->After(kStoreRetry, this->guard.Wrap([this, used] {
+        this->executor->After(kStoreRetryDelay, this->guard.Wrap([this, used] {
           if (used == this->lease && !this->leaving) this->Register();
         }));
       }));
 }
 
-void CellMember::RenewLater() {
+void CellMember::ScheduleRenewal() {
   if (std::exchange(this->renewing, true)) return;
   this->executor->After(kStoreLeaseRenewal, this->guard.Wrap([this] {
     this->renewing = false;
@@ -122,28 +123,28 @@
 
 void CellMember::Renew() {
   if (this->lease == 0) return;
-  const Instant asked = this->executor->Now();
+  const Instant sent_at = this->executor->Now();
   const StoreLeaseId renewed = this->lease;
   this->store->RenewLease(
       renewed, this->guard.Wrap(
-                   [this, renewed, asked](const Result<StoreLease>& answer) {
-                     this->OnRenewed(renewed, asked, answer);
+                   [this, renewed, sent_at](const Result<StoreLease>& answer) {
+                     this->OnRenewed(renewed, sent_at, answer);
                    }));
-  // The next one does not wait for the answer, which may never come.
-  this->RenewLater();
+  // The next renewal does not wait for the answer, which may never arrive.
+  this->ScheduleRenewal();
 }
 
-void CellMember::OnRenewed(StoreLeaseId renewed, Instant asked,
+void CellMember::OnRenewed(StoreLeaseId renewed, Instant sent_at,
                            const Result<StoreLease>& answer) {
   if (renewed != this->lease) return;
   if (answer) {
-    this->renewed_at = std::max(this->renewed_at, asked);
+    this->renewed_at = std::max(this->renewed_at, sent_at);
     this->refused = false;
     return;
   }
-  // Silence is told by the time since the last renewal.
-  const Duration took = this->executor->Now() - asked;
-  if (took < kStoreSilent) this->refused = true;
+  // A silent store is detected by the time since the last renewal.
+  const Duration took = this->executor->Now() - sent_at;
+  if (took < kStoreSilenceTimeout) this->refused = true;
   if (answer.error() == Error::kUnknownRequest) {
     this->LoseLease("lapsed");
   }
@@ -153,11 +154,11 @@
   this->log->Write("cell", "lease-lost",
                    {{"lease", this->lease}, {"reason", reason}});
   this->lease = 0;
-  this->Depose("the lease at the store has ended");
-  this->Acquire();
+  this->Depose("the store lease has ended");
+  this->AcquireLease();
 }
 
-void CellMember::OnCell(const StoreEvent& event) {
+void CellMember::OnCellEvent(const StoreEvent& event) {
   const std::string& key = event.item.key;
   if (key.starts_with(keys::kNodes)) {
     const ProcessId name(key.substr(keys::kNodes.size()));
@@ -172,7 +173,7 @@
           "cell", "process-joined",
           {{"process", name.Text()}, {"address", node->peer_address}});
     } else {
-      this->LogBroken(event);
+      this->LogMalformed(event);
     }
   } else if (key == keys::Owner()) {
     this->OnOwnerKey(event);
@@ -183,15 +184,16 @@
 
 void CellMember::OnOwnerKey(const StoreEvent& event) {
   if (event.deleted) {
-    // An older change than the one that made us owner tells nothing.
+    // Ignore a change that is older than the write that made this process the
+    // owner.
     if (event.item.revision < this->token) return;
     this->owner.reset();
-    this->Depose("the owner's key is gone");
+    this->Depose("the owner's key was deleted");
     return;
   }
   const auto node = DecodeNode(event.item.value);
   if (!node) {
-    this->LogBroken(event);
+    this->LogMalformed(event);
     return;
   }
   this->owner = Ownership{*node, event.item.revision};
@@ -201,14 +203,14 @@
   const bool newer = event.item.revision > this->token;
   const bool ours = *node == this->self && event.item.lease == this->lease;
   if (this->token == 0 && ours) {
-    // Our write had no answer and was done later.
-    this->Win(event.item.revision);
+    // The answer to our write was lost, and the write was applied later.
+    this->BecomeOwner(event.item.revision);
   } else if (this->token != 0 && newer) {
-    this->Depose("there is a newer owner");
+    this->Depose("a newer owner was elected");
   }
 }
 
-void CellMember::LogBroken(const StoreEvent& event) {
+void CellMember::LogMalformed(const StoreEvent& event) {
   this->log->Write(
       "cell", "record-broken",
       {{"key", event.item.key}, {"revision", event.item.revision}});
@@ -217,7 +219,8 @@
 Duration CellMember::ElectionDelay() const {
   std::size_t before = 0;
   for (const auto& [name, other] : this->nodes) {
-    if (name != this->self.name && Preferred(other.node, this->self)) ++before;
+    if (name != this->self.name && IsPreferredOwner(other.node, this->self))
+      ++before;
   }
   return kElectionStagger *
          static_cast<std::int64_t>(std::min(before, kMaxStaggers));
@@ -232,75 +235,75 @@
 
 void CellMember::ConsiderElection() {
   const bool vacant = !this->owner || this->OwnerRestarted();
-  const bool may = this->mirror.Listed() && vacant && this->lease != 0 &&
-                   this->token == 0 && !this->leaving;
-  if (!may || std::exchange(this->standing, true)) return;
+  const bool may_run = this->mirror.Listed() && vacant && this->lease != 0 &&
+                       this->token == 0 && !this->leaving;
+  if (!may_run || std::exchange(this->electing, true)) return;
   this->executor->After(this->ElectionDelay(),
-                        this->guard.Wrap([this] { this->Stand(); }));
+                        this->guard.Wrap([this] { this->RunForElection(); }));
 }
 
-void CellMember::Stand() {
+void CellMember::RunForElection() {
   const bool vacant = !this->owner || this->OwnerRestarted();
   if (!vacant || this->lease == 0 || this->leaving) {
-    this->standing = false;
+    this->electing = false;
     return;
   }
   Transaction transaction;
-  // A key whose owner was started anew is taken over as it stands, before its
-  // lease lapses.
+  // If the owner was restarted, its key is taken over before its lease expires.
   transaction.conditions.push_back(
       {keys::Owner(), this->owner ? this->owner->token : 0});
   transaction.puts.push_back(
       {keys::Owner(), EncodeNode(this->self), this->lease});
   this->store->Commit(std::move(transaction),
                       this->guard.Wrap([this](const CommitResult& result) {
-                        this->OnStood(result);
+                        this->OnElectionResult(result);
                       }));
 }
 
-void CellMember::OnStood(const CommitResult& result) {
+void CellMember::OnElectionResult(const CommitResult& result) {
   switch (result.end) {
-    case CommitEnd::kCommitted:
-      this->standing = false;
-      this->Win(result.revision);
+    case CommitOutcome::kCommitted:
+      this->electing = false;
+      this->BecomeOwner(result.revision);
       return;
-    case CommitEnd::kConflict:
-      // Another one was first, and the mirror tells soon who. Failure: or the
-      // former owner's key has just gone with its lease; the mirror told so
-      // while the write was on its way, nothing more comes, and the group stays
-      // without an owner. So things are looked at once more below.
-    case CommitEnd::kUncertain:
-      this->CheckStood();
+    case CommitOutcome::kConflict:
+      // Another process was first, and the mirror soon shows which. Failure:
+      // the former owner's key was deleted with its lease while the write was
+      // in flight; the mirror has reported that already, no further event
+      // follows, and the group stays without an owner. So the key is read again
+      // below.
+    case CommitOutcome::kUncertain:
+      this->VerifyElection();
       return;
-    case CommitEnd::kLeaseGone:
-    case CommitEnd::kNotDone:
+    case CommitOutcome::kLeaseNotFound:
+    case CommitOutcome::kNotApplied:
       break;
   }
-  this->executor->After(kStoreRetry, this->guard.Wrap([this] {
-    this->standing = false;
+  this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
+    this->electing = false;
     this->ConsiderElection();
   }));
 }
 
-void CellMember::CheckStood() {
-  // Failure: the answer to the write that made us owner is lost. The key shows
-  // who made it; our lease is in no other process's hands.
+void CellMember::VerifyElection() {
+  // Failure: the answer to the write that made this process the owner is lost.
+  // The key shows who wrote it, because no other process uses our lease.
   this->store->Read(
       keys::Owner(), this->guard.Wrap([this](const Result<StoreItem>& item) {
-        this->standing = false;
+        this->electing = false;
         const bool ours = item && item.value().lease == this->lease &&
                           this->lease != 0 && !this->leaving;
         if (ours) {
-          this->Win(item.value().revision);
+          this->BecomeOwner(item.value().revision);
           return;
         }
-        this->executor->After(kStoreRetry, this->guard.Wrap([this] {
+        this->executor->After(kStoreRetryDelay, this->guard.Wrap([this] {
           this->ConsiderElection();
         }));
       }));
 }
 
-void CellMember::Win(Revision revision) {
+void CellMember::BecomeOwner(Revision revision) {
   if (this->token != 0 || this->leaving) return;
   this->token = revision;
   this->owner = Ownership{this->self, revision};
@@ -320,11 +323,12 @@
 void CellMember::Resign(std::string_view reason) {
   this->Depose(reason);
   if (this->lease == 0 || this->leaving) return;
-  // Failure: a process that has stopped to act as owner keeps the owner's key
-  // alive with its lease, and nobody takes over. The key goes with the lease.
+  // Failure: a process that no longer acts as owner keeps the owner's key alive
+  // with its lease, and no other process takes over. Ending the lease deletes
+  // the key.
   this->store->EndLease(this->lease);
   this->lease = 0;
-  this->Acquire();
+  this->AcquireLease();
 }
 
 void CellMember::Leave() {
@@ -341,15 +345,15 @@
   const Registration* best = nullptr;
   for (const auto& [name, other] : this->nodes) {
     if (name == this->self.name) continue;
-    if (best == nullptr || BetterSuccessor(other, *best)) best = &other;
+    if (best == nullptr || IsBetterSuccessor(other, *best)) best = &other;
   }
   return best;
 }
 
 void CellMember::HandOver(const Registration& successor) {
-  // The group has an owner at every moment. With the lease ended and an
-  // election after it nothing would be placed for three answers of the store
-  // and the pauses of the election.
+  // Handing over keeps the group owned at all times. Ending the lease and
+  // electing a new owner would stop placement for three answers of the store
+  // plus the election delays.
   this->log->Write(
       "cell", "handing-over",
       {{"token", this->token}, {"successor", successor.node.name.Text()}});
@@ -358,15 +362,15 @@
   transaction.puts.push_back(
       {keys::Owner(), EncodeNode(successor.node), successor.lease});
   this->store->Commit(std::move(transaction),
-                      // However it ended: a key that is still ours goes with
-                      // the lease, and the others elect.
+                      // Regardless of the result: a key that is still ours is
+                      // deleted with the lease, and the others elect an owner.
                       this->guard.Wrap([this](const CommitResult& /*result*/) {
                         this->EndMembership();
                       }));
 }
 
 void CellMember::EndMembership() {
-  this->Depose("this process stops");
+  this->Depose("this process is stopping");
   if (this->lease != 0) this->store->EndLease(this->lease);
   this->lease = 0;
 }
--- a/packages/jobs/src/crash_history.cc
+++ b/packages/jobs/src/crash_history.cc
@@ -8,12 +8,12 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// No task is given up for fewer.
-constexpr std::size_t kLeastLosses = 2;
-/// Beyond the time that earlier runs survived.
-constexpr Duration kProvingMargin = milliseconds(200);
-/// Bounds how long a worker is kept for one task.
-constexpr Duration kLongestProvingTime = seconds(5);
+/// Minimum number of lost workers after which a task may be failed.
+constexpr std::size_t kMinLosses = 2;
+/// Added to the longest run time before an earlier loss.
+constexpr Duration kProbationMargin = milliseconds(200);
+/// Maximum time for which a worker is reserved for one task.
+constexpr Duration kMaxProbationPeriod = seconds(5);
 
 }  // namespace
 
@@ -26,15 +26,16 @@
 
 bool CrashHistory::Confirm(const WorkerIncarnation& worker) {
   const auto found = std::find_if(
-      this->losses.begin(), this->losses.end(),
-      [&](const WorkerLoss& loss) { return MayBeSame(loss.worker, worker); });
+      this->losses.begin(), this->losses.end(), [&](const WorkerLoss& loss) {
+        return MayBeSameIncarnation(loss.worker, worker);
+      });
   if (found == this->losses.end()) return false;
   return !std::exchange(found->certain, true);
 }
 
 void CrashHistory::NoteAlive(const WorkerIncarnation& worker) {
   std::erase_if(this->losses, [&](const WorkerLoss& loss) {
-    return MayBeSame(loss.worker, worker);
+    return MayBeSameIncarnation(loss.worker, worker);
   });
   for (WorkerLoss& loss : this->losses) {
     if (loss.worker.id == worker.id) loss.certain = true;
@@ -63,9 +64,10 @@
   std::vector<WorkerLoss> counted;
   bool discounted = false;
   for (const WorkerLoss& loss : this->losses) {
-    // Once at most, but for runs that were long at work: a task that takes its
-    // workers down may do so in the same moments as others.
-    const bool proven = loss.survived >= kProvenRun;
+    // At most one loss after a short run is discounted: a task that crashes its
+    // workers may do so at the same time as others. All losses after long runs
+    // are discounted.
+    const bool proven = loss.survived >= kProvenRunTime;
     const bool discount =
         loss.in_outage && (proven || !std::exchange(discounted, true));
     if (!discount) counted.push_back(loss);
@@ -79,14 +81,14 @@
   return counted.size() > 1 || counted.front().at_start;
 }
 
-Duration CrashHistory::ProvingTime() const {
-  // The next loss decides: nothing else may be to blame for it.
-  if (this->losses.size() > 1) return kLongestProvingTime;
+Duration CrashHistory::ProbationPeriod() const {
+  // The next loss is decisive, so no other task may be a possible cause of it.
+  if (this->losses.size() > 1) return kMaxProbationPeriod;
   Duration longest{0};
   for (const WorkerLoss& loss : this->losses) {
     longest = std::max(longest, loss.survived);
   }
-  return std::min(longest + kProvingMargin, kLongestProvingTime);
+  return std::min(longest + kProbationMargin, kMaxProbationPeriod);
 }
 
 bool CrashHistory::Unsafe(std::size_t max_losses) const {
@@ -94,7 +96,7 @@
   if (counted.size() > max_losses) return true;
   if (counted.empty() || !counted.back().alone) return false;
   const std::size_t enough =
-      AllAtStart(counted) ? std::max(max_losses - 1, kLeastLosses) : max_losses;
+      AllAtStart(counted) ? std::max(max_losses - 1, kMinLosses) : max_losses;
   const auto certain =
       std::count_if(counted.begin(), counted.end(),
                     [](const WorkerLoss& loss) { return loss.certain; });
--- a/packages/jobs/src/dispatcher.cc
+++ b/packages/jobs/src/dispatcher.cc
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "ask_choice.h"
+#include "advice_selection.h"
 #include "gang_hold.h"
 #include "gang_reservations.h"
 #include "options.h"
@@ -15,22 +15,24 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// A job that takes more than this times its objective is worth nothing.
-constexpr std::int64_t kWorthlessAfter = 3;
-/// Gangs that may hold room at the same time. With more, a burst of gangs would
-/// hold the whole cell empty for each other.
+/// Multiple of its objective after which a job has no value any more.
+constexpr std::int64_t kExpiryFactor = 3;
+/// Maximum number of gangs that hold capacity at the same time. With more, a
+/// burst of gangs would keep the whole cell idle for each other.
 constexpr std::int32_t kMaxHolds = 2;
-/// Time allowed for a gang to gather its room, as a multiple of what it takes
-/// if nothing else starts: steps of higher rank do start meanwhile.
-constexpr std::int64_t kGatherMargin = 2;
-/// Once a run of a step was at work for so long, its other tasks may start.
-constexpr Duration kSoundStep = milliseconds(200);
+/// Time allowed for a gang to gather its capacity, as a multiple of the time
+/// needed if nothing else starts. Steps of higher rank do start meanwhile.
+constexpr std::int64_t kGatherTimeFactor = 2;
+/// Run time after which a run of a step proves the step harmless, so that its
+/// other tasks may start.
+constexpr Duration kProvenStepRunTime = milliseconds(200);
 /// How long a suspicious task waits for a worker on which all runs are proven.
 constexpr Duration kQuietWorkerWait = milliseconds(2000);
-/// A suspicious task that has waited for so long goes before all others.
-constexpr Duration kLongestTrialWait = milliseconds(1000);
-/// Least time between two looks at whether a question about a step would help.
-constexpr Duration kAskPause = milliseconds(50);
+/// A suspicious task that has waited this long precedes all others.
+constexpr Duration kMaxTrialWait = milliseconds(1000);
+/// Minimum time between two checks of whether a question about a step would
+/// help.
+constexpr Duration kAskInterval = milliseconds(50);
 
 Duration Scale(Duration duration, double factor) {
   return Duration(static_cast<std::int64_t>(
@@ -38,15 +40,15 @@
 }
 
 /// Moves workers on which one of the tasks failed last to the end.
-/// @return how many candidates come before them
-std::size_t PutFailedLast(const Unit& unit,
-                          std::vector<Candidate>* candidates) {
+/// @return the number of candidates before them
+std::size_t MoveFailedWorkersLast(const SchedulingUnit& unit,
+                                  std::vector<Candidate>* candidates) {
   const auto failed_there = [&](const Candidate& candidate) {
-    const WorkerId& worker = candidate.room->session->Incarnation().id;
+    const WorkerId& worker = candidate.capacity->session->Incarnation().id;
     return std::any_of(
         unit.tasks.begin(), unit.tasks.end(), [&](std::int32_t index) {
           return unit.progress->tasks[static_cast<std::size_t>(index)]
-                     .failed_at == worker;
+                     .last_failed_worker == worker;
         });
   };
   const auto first_failed = std::stable_partition(
@@ -59,16 +61,16 @@
                            const WorkerIncarnation& worker) {
   return static_cast<std::int32_t>(std::count_if(
       progress.tasks.begin(), progress.tasks.end(), [&](const TaskEntry& task) {
-        return task.open && MayBeSame(task.worker, worker);
+        return task.open && MayBeSameIncarnation(task.worker, worker);
       }));
 }
 
-/// @return how many of the unit's tasks the candidates take now
-std::int64_t CountRoom(const Unit& unit,
-                       const std::vector<Candidate>& candidates) {
+/// @return how many of the unit's tasks fit on the candidates now
+std::int64_t CountPlaceableTasks(const SchedulingUnit& unit,
+                                 const std::vector<Candidate>& candidates) {
   std::int64_t room = 0;
   for (const Candidate& one : candidates) {
-    room += RoomFor(*unit.step, one, std::ssize(unit.tasks));
+    room += CountPlaceable(*unit.step, one, std::ssize(unit.tasks));
   }
   return room;
 }
@@ -78,8 +80,8 @@
 Dispatcher::Dispatcher(OwnerContext* context)
     : context(context), waits(context->log, context->metrics) {}
 
-void Dispatcher::Kick() {
-  if (std::exchange(this->kicked, true)) return;
+void Dispatcher::SchedulePass() {
+  if (std::exchange(this->pass_scheduled, true)) return;
   const Instant now = this->context->executor->Now();
   const Duration delay =
       std::max(Duration::zero(), this->last_pass + kPassInterval - now);
@@ -88,59 +90,62 @@
 }
 
 void Dispatcher::Pass() {
-  this->kicked = false;
+  this->pass_scheduled = false;
   const Instant now = this->context->executor->Now();
   this->last_pass = now;
-  this->NoteSilent();
-  std::vector<Unit> units = this->CollectUnits(now);
-  this->NoteEjected(now);
-  const PassRooms rooms(this->context->workers);
-  this->AllowForGathering(&units, rooms, now);
+  this->UpdateAnySilent();
+  std::vector<SchedulingUnit> units = this->CollectUnits(now);
+  this->UpdateEjected(now);
+  const PassCapacity capacities(this->context->workers);
+  this->AdvanceGangStartTimes(&units, capacities, now);
   std::stable_sort(
-      units.begin(), units.end(), [](const Unit& a, const Unit& b) {
-        return std::tie(a.lateness, a.queue->priority, a.begin_by) <
-               std::tie(b.lateness, b.queue->priority, b.begin_by);
+      units.begin(), units.end(),
+      [](const SchedulingUnit& a, const SchedulingUnit& b) {
+        return std::tie(a.deadline_status, a.queue->priority, a.start_by) <
+               std::tie(b.deadline_status, b.queue->priority, b.start_by);
       });
-  // Failure: suspicious tasks that come later, and are not late yet, take each
-  // worker that may be kept, and one that has waited long never starts.
-  const auto usual =
-      std::stable_partition(units.begin(), units.end(), [&](const Unit& unit) {
-        return unit.quarantined && now >= unit.waits_since + kLongestTrialWait;
+  // Failure: later suspicious tasks that are not late yet take every worker
+  // that may be quarantined, and one that has waited for long never starts.
+  const auto usual = std::stable_partition(
+      units.begin(), units.end(), [&](const SchedulingUnit& unit) {
+        return unit.quarantined && now >= unit.waiting_since + kMaxTrialWait;
       });
-  std::stable_sort(units.begin(), usual, [](const Unit& a, const Unit& b) {
-    return a.waits_since < b.waits_since;
-  });
+  std::stable_sort(units.begin(), usual,
+                   [](const SchedulingUnit& a, const SchedulingUnit& b) {
+                     return a.waiting_since < b.waiting_since;
+                   });
   std::int32_t holds = 0;
-  for (Unit& unit : units) {
-    this->PlaceUnit(&unit, rooms, now);
+  for (SchedulingUnit& unit : units) {
+    this->PlaceUnit(&unit, capacities, now);
     if (unit.tasks.empty()) continue;
     if (this->waits.Due(unit, now)) {
-      this->waits.Write(unit, this->LookAtWait(unit, rooms, now), now);
+      this->waits.Write(unit, this->CollectWaitFacts(unit, capacities, now),
+                        now);
     }
-    if (unit.queue->advice) this->ConsiderAdvice(unit, rooms, now);
+    if (unit.queue->advice) this->RequestAdviceIfUseful(unit, capacities, now);
     const bool holds_room =
-        unit.step->gang && unit.lateness != Lateness::kWorthless;
+        unit.step->gang && unit.deadline_status != DeadlineStatus::kExpired;
     if (holds_room && holds < kMaxHolds) {
-      this->HoldForGang(unit, rooms, now);
+      this->HoldForGang(unit, capacities, now);
       ++holds;
     }
   }
 }
 
-void Dispatcher::NoteSilent() {
-  this->any_silent =
-      std::any_of(this->context->workers.begin(), this->context->workers.end(),
-                  [](const auto& one) {
-                    return one.second->suspect && !one.second->runs.empty();
-                  });
+void Dispatcher::UpdateAnySilent() {
+  this->any_silent = std::any_of(
+      this->context->workers.begin(), this->context->workers.end(),
+      [](const auto& one) {
+        return one.second->unresponsive && !one.second->runs.empty();
+      });
 }
 
-void Dispatcher::NoteEjected(Instant now) {
+void Dispatcher::UpdateEjected(Instant now) {
   WorkerHealth& health = this->context->health;
   for (const WorkerId& worker : health.TakeChanged(now)) {
-    WorkerSession* session = this->context->workers.At(worker);
+    WorkerSession* session = this->context->workers.FindLatest(worker);
     if (session == nullptr) continue;
-    const bool ejected = !health.Standing(now, worker).placeable;
+    const bool ejected = !health.Availability(now, worker).placeable;
     if (std::exchange(session->ejected, ejected) == ejected) continue;
     this->context->log->Write("workers",
                               ejected ? "worker-ejected" : "worker-readmitted",
@@ -149,16 +154,16 @@
   }
 }
 
-std::vector<Unit> Dispatcher::CollectUnits(Instant now) {
-  std::vector<Unit> units;
+std::vector<SchedulingUnit> Dispatcher::CollectUnits(Instant now) {
+  std::vector<SchedulingUnit> units;
   for (JobEntry* entry : this->context->jobs.Active()) {
     this->CollectUnits(entry, now, &units);
   }
   return units;
 }
 
-Unit Dispatcher::MakeUnit(JobEntry* entry, const StepRef& ref) const {
-  Unit unit;
+SchedulingUnit Dispatcher::MakeUnit(JobEntry* entry, const StepRef& ref) const {
+  SchedulingUnit unit;
   unit.entry = entry;
   unit.queue = &this->context->QueueOf(*entry);
   unit.ref = ref;
@@ -169,30 +174,33 @@
 }
 
 void Dispatcher::CollectUnits(JobEntry* entry, Instant now,
-                              std::vector<Unit>* units) {
-  // The same for all steps of the job.
+                              std::vector<SchedulingUnit>* units) {
+  // The objective is the same for all steps of the job.
   std::optional<Duration> objective;
   for (const auto& [number, occurrence] : entry->occurrences) {
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
       const auto index = static_cast<std::int32_t>(i);
       const StepEntry& progress = occurrence.steps[i];
-      if (progress.AllUnderWay()) continue;
+      if (progress.AllDoneOrOpen()) continue;
       if (!JobTable::Ready(*entry, occurrence, index)) continue;
       std::vector<std::int32_t> tasks =
           JobTable::Startable(*entry, progress, index, now);
       if (tasks.empty()) continue;
-      Unit unit = this->MakeUnit(entry, {entry->job.id, number, index});
+      SchedulingUnit unit =
+          this->MakeUnit(entry, {entry->job.id, number, index});
       unit.tasks = std::move(tasks);
       if (!objective) objective = this->Objective(unit);
       this->Rank(&unit, *objective, now);
-      std::optional<Unit> apart = this->SplitSuspicious(&unit);
-      if (apart) units->push_back(std::move(*apart));
+      std::optional<SchedulingUnit> quarantine_unit =
+          this->SplitSuspicious(&unit);
+      if (quarantine_unit) units->push_back(std::move(*quarantine_unit));
       if (!unit.tasks.empty()) units->push_back(std::move(unit));
     }
   }
 }
 
-std::optional<Unit> Dispatcher::SplitSuspicious(Unit* unit) const {
+std::optional<SchedulingUnit> Dispatcher::SplitSuspicious(
+    SchedulingUnit* unit) const {
   if (unit->step->gang) return std::nullopt;
   const bool may_be_silent = this->any_silent && unit->progress->open > 0;
   if (unit->entry->crashes.empty() && !may_be_silent) return std::nullopt;
@@ -204,53 +212,53 @@
       });
   const std::vector<std::int32_t> suspicious(first, unit->tasks.end());
   unit->tasks.erase(first, unit->tasks.end());
-  // Failure: all tasks of a step take their workers down, and each of them is
-  // tried at the same time as the others.
-  if (this->InDoubt(*unit)) unit->tasks.clear();
+  // Failure: every task of a step crashes its worker, and all of them are tried
+  // at the same time.
+  if (this->IsUnproven(*unit)) unit->tasks.clear();
   if (suspicious.empty() || this->HasQuarantined(*unit->entry)) {
     return std::nullopt;
   }
-  Unit apart = *unit;
+  SchedulingUnit quarantine_unit = *unit;
   const std::int32_t task = suspicious.front();
-  apart.tasks = {task};
-  apart.quarantined = true;
-  apart.waits_since =
+  quarantine_unit.tasks = {task};
+  quarantine_unit.quarantined = true;
+  quarantine_unit.waiting_since =
       unit->progress->tasks[static_cast<std::size_t>(task)].not_before;
-  return apart;
+  return quarantine_unit;
 }
 
-bool Dispatcher::InDoubt(const Unit& unit) const {
+bool Dispatcher::IsUnproven(const SchedulingUnit& unit) const {
   if (unit.progress->done > 0) return false;
   const auto& crashes = unit.entry->crashes;
   const bool suspicious =
       std::any_of(crashes.begin(), crashes.end(), [&](const auto& one) {
         return one.first.step == unit.ref && one.second.Suspicious();
       });
-  if (!suspicious && !this->MayHaveSilenced(unit)) return false;
+  if (!suspicious && !this->MayHaveCrashedWorker(unit)) return false;
   const std::vector<TaskEntry>& tasks = unit.progress->tasks;
   for (std::size_t i = 0; i < tasks.size(); ++i) {
     const SessionRun* run = this->FindRun(unit, i);
-    const bool sound =
-        run != nullptr && !run->quarantined && run->Survived() >= kSoundStep;
+    const bool sound = run != nullptr && !run->quarantined &&
+                       run->Survived() >= kProvenStepRunTime;
     if (sound) return false;
   }
   return true;
 }
 
-bool Dispatcher::MayHaveSilenced(const Unit& unit) const {
+bool Dispatcher::MayHaveCrashedWorker(const SchedulingUnit& unit) const {
   // It takes seconds until a silent worker is known to be lost.
   const std::vector<TaskEntry>& tasks = unit.progress->tasks;
   for (std::size_t i = 0; i < tasks.size(); ++i) {
     if (!tasks[i].open) continue;
     const WorkerSession* session = this->context->workers.Find(tasks[i].worker);
-    if (session == nullptr || !session->suspect) continue;
+    if (session == nullptr || !session->unresponsive) continue;
     const SessionRun* run = this->FindRun(unit, i);
     if (run != nullptr && run->ordered_at && !run->seen_running) return true;
   }
   return false;
 }
 
-const SessionRun* Dispatcher::FindRun(const Unit& unit,
+const SessionRun* Dispatcher::FindRun(const SchedulingUnit& unit,
                                       std::size_t index) const {
   const TaskRef task{unit.ref, static_cast<std::int32_t>(index)};
   return this->FindRun(task, unit.progress->tasks[index]);
@@ -278,116 +286,124 @@
   std::size_t down = 0;
   std::size_t idle = 0;
   for (const auto& [id, session] : this->context->workers) {
-    if (session->Quarantined()) ++(session->suspect ? down : kept);
+    if (session->Quarantined()) ++(session->unresponsive ? down : kept);
     if (session->fenced && session->runs.empty()) ++idle;
   }
   const auto all = static_cast<double>(this->context->workers.Size());
   const auto share = static_cast<std::size_t>(kMaxQuarantinedShare * all);
-  // Half of what stands empty: the rest is for what comes meanwhile. Those that
-  // have gone down are kept from nothing else, but there may not be ever more.
+  // At most half of the idle workers are used, to leave the rest for work that
+  // arrives meanwhile. Quarantined workers that are down could run nothing
+  // else, but their number is bounded too.
   const std::size_t most = std::max({share, idle / 2, std::size_t{1}});
   return kept < most && kept + down < 2 * most;
 }
 
-void Dispatcher::PlaceQuarantined(Unit* unit, const PassRooms& rooms,
-                                  Instant now) {
+void Dispatcher::PlaceQuarantined(SchedulingUnit* unit,
+                                  const PassCapacity& capacities, Instant now) {
   if (!this->MayQuarantine()) return;
   std::vector<Candidate> candidates =
       unit->queue->advice
-          ? this->Permitted(*unit, rooms, now, PermitNeed::kHolds)
-          : this->Candidates(*unit, rooms, now);
+          ? this->Permitted(*unit, capacities, now, PermitFilter::kValid)
+          : this->Candidates(*unit, capacities, now);
   std::erase_if(candidates, [&](const Candidate& one) {
-    return RoomFor(*unit->step, one) == 0;
+    return CountPlaceable(*unit->step, one) == 0;
   });
   if (candidates.empty()) return;
-  const auto company = [&](const Candidate& one) {
-    const WorkerSession& session = *one.room->session;
+  const auto load = [&](const Candidate& one) {
+    const WorkerSession& session = *one.capacity->session;
     return std::pair(session.CountUnproven(), session.runs.size());
   };
   const auto chosen =
       std::min_element(candidates.begin(), candidates.end(),
                        [&](const Candidate& a, const Candidate& b) {
-                         return company(a) < company(b);
+                         return load(a) < load(b);
                        });
-  const bool alone = company(*chosen).first == 0;
-  if (!alone && now < unit->waits_since + kQuietWorkerWait) return;
-  chosen->room->free = Resources{};
-  this->Start(unit, {chosen->room->session->Incarnation()});
+  const bool alone = load(*chosen).first == 0;
+  if (!alone && now < unit->waiting_since + kQuietWorkerWait) return;
+  chosen->capacity->free = Resources{};
+  this->Start(unit, {chosen->capacity->session->Incarnation()});
 }
 
-Duration Dispatcher::Objective(const Unit& unit) const {
+Duration Dispatcher::Objective(const SchedulingUnit& unit) const {
   const JobEntry& entry = *unit.entry;
-  const Duration chain =
-      this->context->run_times.Expect(entry.job.queue.name, entry.whole_chain);
+  const Duration chain = this->context->run_times.PredictRunTime(
+      entry.job.queue.name, entry.critical_path);
   return Scale(chain, unit.queue->stretch) + unit.queue->target;
 }
 
-void Dispatcher::Rank(Unit* unit, Duration objective, Instant now) const {
-  const Instant due = unit->entry->learnt + objective;
-  unit->begin_by = due;
+void Dispatcher::Rank(SchedulingUnit* unit, Duration objective,
+                      Instant now) const {
+  const Instant due = unit->entry->learned_at + objective;
+  unit->start_by = due;
   if (unit->step->long_running) return;
   const auto step = static_cast<std::size_t>(unit->ref.step);
-  const Duration chain = this->context->run_times.Expect(
-      unit->entry->job.queue.name, unit->entry->chains[step]);
-  unit->begin_by = due - chain;
-  const Instant worthless = unit->entry->learnt + kWorthlessAfter * objective;
-  unit->limits = {.in_time = due - chain, .any_worth = worthless - chain};
-  unit->lateness = unit->limits.At(now);
-}
-
-void Dispatcher::AllowForGathering(std::vector<Unit>* units,
-                                   const PassRooms& rooms, Instant now) const {
-  for (Unit& unit : *units) {
-    if (!unit.step->gang || unit.lateness == Lateness::kWorthless) continue;
-    std::vector<Candidate> candidates = this->GangCandidates(unit, rooms, now);
+  const Duration chain = this->context->run_times.PredictRunTime(
+      unit->entry->job.queue.name, unit->entry->remaining_path[step]);
+  unit->start_by = due - chain;
+  const Instant expires_at =
+      unit->entry->learned_at + kExpiryFactor * objective;
+  unit->deadlines = {.on_time = due - chain, .useful = expires_at - chain};
+  unit->deadline_status = unit->deadlines.At(now);
+}
+
+void Dispatcher::AdvanceGangStartTimes(std::vector<SchedulingUnit>* units,
+                                       const PassCapacity& capacities,
+                                       Instant now) const {
+  for (SchedulingUnit& unit : *units) {
+    if (!unit.step->gang || unit.deadline_status == DeadlineStatus::kExpired)
+      continue;
+    std::vector<Candidate> candidates =
+        this->GangCandidates(unit, capacities, now);
     const auto fit =
         FindGangFit(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
                     candidates, now);
     if (!fit) continue;
-    // Failure: a wide gang comes first only when it could just start in time,
-    // begins to gather room then, and is late before it has it. And what it has
-    // gathered must not make it less urgent, or others would take that room
-    // and all would stand empty by turns.
+    // Failure: a wide gang gets priority only when it could just start in time,
+    // begins to gather capacity then, and is late before it has it. The
+    // capacity that it has gathered must not reduce its urgency: others would
+    // take that capacity, and it would stay idle alternately for each of them.
     Instant& gather_by = unit.progress->gather_by;
-    gather_by =
-        std::min(gather_by, unit.begin_by - kGatherMargin * (fit->at - now));
-    unit.begin_by = gather_by;
+    gather_by = std::min(gather_by,
+                         unit.start_by - kGatherTimeFactor * (fit->at - now));
+    unit.start_by = gather_by;
   }
 }
 
-Instant Dispatcher::ExpectedEnd(const Unit& unit, Instant now) const {
-  return now + this->context->run_times.Expect(unit.entry->job.queue.name,
-                                               unit.step->estimate);
+Instant Dispatcher::ExpectedEnd(const SchedulingUnit& unit, Instant now) const {
+  return now + this->context->run_times.PredictRunTime(
+                   unit.entry->job.queue.name, unit.step->estimate);
 }
 
-void Dispatcher::AddCandidate(const Unit& unit, Room* room, Instant end,
+void Dispatcher::AddCandidate(const SchedulingUnit& unit,
+                              WorkerCapacity* capacity, Instant end,
                               std::vector<Candidate>* candidates) const {
-  if (room->held && end > room->held_until) return;
-  if (!room->session->HasLabel(unit.step->required_label)) return;
-  if (!Takes(*unit.step).FitsIn(room->free) && !unit.step->gang) return;
-  Candidate candidate{.room = room};
+  if (capacity->held && end > capacity->held_until) return;
+  if (!capacity->session->HasLabel(unit.step->required_label)) return;
+  if (!TaskDemand(*unit.step).FitsIn(capacity->free) && !unit.step->gang)
+    return;
+  Candidate candidate{.capacity = capacity};
   if (unit.step->max_per_worker > 0) {
     candidate.siblings =
-        CountSiblings(*unit.progress, room->session->Incarnation());
+        CountSiblings(*unit.progress, capacity->session->Incarnation());
   }
   candidates->push_back(candidate);
 }
 
-std::vector<Candidate> Dispatcher::Candidates(const Unit& unit,
-                                              const PassRooms& rooms,
+std::vector<Candidate> Dispatcher::Candidates(const SchedulingUnit& unit,
+                                              const PassCapacity& capacities,
                                               Instant now) const {
   std::vector<Candidate> candidates;
   const Instant end = this->ExpectedEnd(unit, now);
-  for (Room* room : rooms.OfService(unit.queue->service)) {
-    this->AddCandidate(unit, room, end, &candidates);
+  for (WorkerCapacity* capacity : capacities.OfService(unit.queue->service)) {
+    this->AddCandidate(unit, capacity, end, &candidates);
   }
   return candidates;
 }
 
-std::vector<Candidate> Dispatcher::Permitted(const Unit& unit,
-                                             const PassRooms& rooms,
+std::vector<Candidate> Dispatcher::Permitted(const SchedulingUnit& unit,
+                                             const PassCapacity& capacities,
                                              Instant now,
-                                             PermitNeed need) const {
+                                             PermitFilter need) const {
   std::vector<Candidate> candidates;
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice == nullptr) return candidates;
@@ -395,51 +411,57 @@
   const Instant valid_at = now + kTicketMargin;
   for (const PermittedWorker& one : advice->permitted) {
     const bool holds = one.ticket.expires > valid_at;
-    if (need == PermitNeed::kHolds && !holds) continue;
-    Room* room = rooms.At(one.session);
-    // The queue may have been given to another service meanwhile.
-    const bool serves =
-        room != nullptr && room->session->info.service == unit.queue->service;
-    if (serves) this->AddCandidate(unit, room, end, &candidates);
+    if (need == PermitFilter::kValid && !holds) continue;
+    WorkerCapacity* capacity = capacities.At(one.session);
+    // The queue may have been assigned to another service meanwhile.
+    const bool serves = capacity != nullptr &&
+                        capacity->session->info.service == unit.queue->service;
+    if (serves) this->AddCandidate(unit, capacity, end, &candidates);
   }
   return candidates;
 }
 
-void Dispatcher::PlaceUnit(Unit* unit, const PassRooms& rooms, Instant now) {
-  if (!rooms.MayFit(unit->queue->service, *unit->step)) return;
+void Dispatcher::PlaceUnit(SchedulingUnit* unit, const PassCapacity& capacities,
+                           Instant now) {
+  if (!capacities.MayFitTask(unit->queue->service, *unit->step)) return;
   if (unit->quarantined) {
-    this->PlaceQuarantined(unit, rooms, now);
+    this->PlaceQuarantined(unit, capacities, now);
     return;
   }
   if (!unit->queue->advice) {
-    this->PlaceIn(unit, this->Candidates(*unit, rooms, now));
+    this->PlaceOn(unit, this->Candidates(*unit, capacities, now));
     return;
   }
-  this->PlaceIn(unit, this->Permitted(*unit, rooms, now, PermitNeed::kHolds));
+  this->PlaceOn(unit,
+                this->Permitted(*unit, capacities, now, PermitFilter::kValid));
   if (!unit->step->gang || unit->tasks.empty()) return;
-  // Most gangs that wait have too little room, and a pass looks at a hundred of
-  // them; the search for places costs far more than this.
-  if (!this->MayTakeRoom(*unit, rooms)) return;
-  if (!this->HasRoom(*unit, rooms, now)) return;
-  this->PlaceIn(unit, this->GangCandidates(*unit, rooms, now));
-}
-
-bool Dispatcher::HasRoom(const Unit& unit, const PassRooms& rooms,
-                         Instant now) const {
-  return CountRoom(unit, this->GangCandidates(unit, rooms, now)) >=
+  // Most waiting gangs lack capacity, and a pass examines about a hundred of
+  // them. The search for places is far more expensive than these checks.
+  if (!this->MayReserveCapacity(*unit, capacities)) return;
+  if (!this->HasCapacity(*unit, capacities, now)) return;
+  this->PlaceOn(unit, this->GangCandidates(*unit, capacities, now));
+}
+
+bool Dispatcher::HasCapacity(const SchedulingUnit& unit,
+                             const PassCapacity& capacities,
+                             Instant now) const {
+  return CountPlaceableTasks(unit,
+                             this->GangCandidates(unit, capacities, now)) >=
          std::ssize(unit.tasks);
 }
 
-bool Dispatcher::MayTakeRoom(const Unit& unit, const PassRooms& rooms) const {
+bool Dispatcher::MayReserveCapacity(const SchedulingUnit& unit,
+                                    const PassCapacity& capacities) const {
   return this->context->reservations->MayAdd(
-      rooms.Capacity(unit.queue->service).cpu_milli);
+      capacities.Capacity(unit.queue->service).cpu_milli);
 }
 
-void Dispatcher::PlaceIn(Unit* unit, std::vector<Candidate> candidates) {
+void Dispatcher::PlaceOn(SchedulingUnit* unit,
+                         std::vector<Candidate> candidates) {
   if (candidates.empty()) return;
-  // Failure: a worker fails part of what it runs, and the task that failed
-  // there goes back to it until its attempts are used up.
-  const std::size_t others = PutFailedLast(*unit, &candidates);
+  // Failure: a worker fails some of its runs, and the failed task is placed on
+  // it again until its attempts are used up.
+  const std::size_t others = MoveFailedWorkersLast(*unit, &candidates);
   const auto count = static_cast<std::int32_t>(unit->tasks.size());
   std::vector<WorkerIncarnation> workers =
       PlaceTasks(*unit->step, count, std::span(candidates).first(others));
@@ -447,70 +469,71 @@
   if (workers.empty()) return;
   this->Start(unit, workers);
   if (unit->entry->crashes.empty()) return;
-  // Nothing else is placed beside a suspicious task in this pass either.
+  // Nothing else is placed beside a suspicious task in this pass.
   for (Candidate& one : candidates) {
-    if (one.room->session->Quarantined()) one.room->free = Resources{};
+    if (one.capacity->session->Quarantined()) one.capacity->free = Resources{};
   }
 }
 
-void Dispatcher::Start(Unit* unit,
+void Dispatcher::Start(SchedulingUnit* unit,
                        const std::vector<WorkerIncarnation>& workers) {
   const std::span<const std::int32_t> tasks(unit->tasks.data(), workers.size());
   const std::vector<RunRef> runs =
       this->context->jobs.Begin(unit->entry, unit->ref, tasks, workers);
-  unit->entry->shown = unit->entry->state;
+  unit->entry->published_state = unit->entry->state;
   this->context->runs->Begin(*unit->entry, runs, workers);
   unit->tasks.erase(unit->tasks.begin(),
                     unit->tasks.begin() + std::ssize(workers));
 }
 
-void Dispatcher::ConsiderAdvice(const Unit& unit, const PassRooms& rooms,
-                                Instant now) {
+void Dispatcher::RequestAdviceIfUseful(const SchedulingUnit& unit,
+                                       const PassCapacity& capacities,
+                                       Instant now) {
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   if (advice != nullptr) {
-    if (advice->asking || now < unit.progress->ask_after) return;
-    unit.progress->ask_after = now + kAskPause;
-    if (this->WorkersToAsk(unit, rooms, now).empty()) return;
+    if (advice->asking || now < unit.progress->next_advice_check) return;
+    unit.progress->next_advice_check = now + kAskInterval;
+    if (this->WorkersToAsk(unit, capacities, now).empty()) return;
   }
-  this->context->advice->Want(
+  this->context->advice->RequestPermissions(
       {.step = unit.ref,
        .queue = unit.queue->name,
        .policy = *unit.queue->advice,
-       .limits = unit.limits,
-       .begin_by = unit.begin_by,
+       .deadlines = unit.deadlines,
+       .start_by = unit.start_by,
        .work = DeclaredWork(*unit.step, std::ssize(unit.tasks))});
 }
 
-std::vector<AskedWorker> Dispatcher::WorkersToAsk(const Unit& unit,
-                                                  const PassRooms& rooms,
-                                                  Instant now) const {
-  // Failure: what decides whether to ask and what decides whether to take room
-  // count different permissions, and a gang that has enough for the one and too
-  // little for the other waits for good. So a gang takes its room or asks, and
-  // both look at the same rooms.
-  if (unit.step->gang && this->HasRoom(unit, rooms, now)) return {};
+std::vector<AskedWorker> Dispatcher::WorkersToAsk(
+    const SchedulingUnit& unit, const PassCapacity& capacities,
+    Instant now) const {
+  // Failure: the decision to ask and the decision to take capacity count
+  // different permissions, and a gang with enough for the one and too little
+  // for the other waits forever. So a gang either takes its capacity or asks,
+  // and both decisions examine the same capacity.
+  if (unit.step->gang && this->HasCapacity(unit, capacities, now)) return {};
   const AdvicePolicy& policy = *unit.queue->advice;
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
-  AskWish wish;
-  wish.step = unit.step;
-  wish.tasks = tasks;
-  wish.advice = this->context->advice->Find(unit.ref);
-  wish.permitted_share =
+  AdviceSelectionInput input;
+  input.step = unit.step;
+  input.tasks = tasks;
+  input.advice = this->context->advice->Find(unit.ref);
+  input.permitted_share =
       this->context->advice->PermittedShare(unit.queue->name);
   if (policy.per_worker > Duration::zero()) {
-    wish.cheap_workers =
+    input.workers_per_fixed_cost =
         static_cast<std::size_t>(policy.decision / policy.per_worker);
   }
-  wish.now = now;
-  wish.answered = now + policy.decision + policy.per_worker * tasks;
+  input.now = now;
+  input.answer_due = now + policy.decision + policy.per_worker * tasks;
   std::vector<Candidate> candidates;
-  const Instant end = this->ExpectedEnd(unit, wish.answered);
-  for (Room* room : rooms.OfService(unit.queue->service)) {
-    if (room->held && end > room->held_until) continue;
-    if (!room->session->HasLabel(unit.step->required_label)) continue;
-    candidates.push_back({.room = room});
+  const Instant end = this->ExpectedEnd(unit, input.answer_due);
+  for (WorkerCapacity* capacity : capacities.OfService(unit.queue->service)) {
+    if (capacity->held && end > capacity->held_until) continue;
+    if (!capacity->session->HasLabel(unit.step->required_label)) continue;
+    candidates.push_back({.capacity = capacity});
   }
-  return ChooseAsked(wish, candidates);
+  return SelectWorkersToAsk(input, candidates);
 }
 
 std::vector<AskedWorker> Dispatcher::ChooseForAdvice(const StepRef& ref) {
@@ -521,30 +544,32 @@
   if (entry == nullptr || IsFinal(entry->state)) return {};
   if (!entry->occurrences.contains(ref.occurrence)) return {};
   const Instant now = this->context->executor->Now();
-  Unit unit = this->MakeUnit(entry, ref);
+  SchedulingUnit unit = this->MakeUnit(entry, ref);
   unit.tasks = JobTable::Startable(*entry, *unit.progress, ref.step, now);
   const bool known = this->context->advice->Find(ref) != nullptr;
   if (unit.tasks.empty() || !unit.queue->advice || !known) return {};
-  return this->WorkersToAsk(unit, PassRooms(this->context->workers), now);
+  return this->WorkersToAsk(unit, PassCapacity(this->context->workers), now);
 }
 
-std::vector<Candidate> Dispatcher::GangCandidates(const Unit& unit,
-                                                  const PassRooms& rooms,
-                                                  Instant now) const {
+std::vector<Candidate> Dispatcher::GangCandidates(
+    const SchedulingUnit& unit, const PassCapacity& capacities,
+    Instant now) const {
   return unit.queue->advice
-             ? this->Permitted(unit, rooms, now, PermitNeed::kKnown)
-             : this->Candidates(unit, rooms, now);
+             ? this->Permitted(unit, capacities, now, PermitFilter::kKnown)
+             : this->Candidates(unit, capacities, now);
 }
 
-void Dispatcher::HoldForGang(const Unit& unit, const PassRooms& rooms,
-                             Instant now) {
-  std::vector<Candidate> candidates = this->GangCandidates(unit, rooms, now);
-  HoldRooms(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
-            candidates, now);
+void Dispatcher::HoldForGang(const SchedulingUnit& unit,
+                             const PassCapacity& capacities, Instant now) {
+  std::vector<Candidate> candidates =
+      this->GangCandidates(unit, capacities, now);
+  HoldCapacity(*unit.step, static_cast<std::int64_t>(unit.tasks.size()),
+               candidates, now);
 }
 
-WaitFacts Dispatcher::LookAtWait(const Unit& unit, const PassRooms& rooms,
-                                 Instant now) const {
+WaitFacts Dispatcher::CollectWaitFacts(const SchedulingUnit& unit,
+                                       const PassCapacity& capacities,
+                                       Instant now) const {
   const auto tasks = static_cast<std::int64_t>(unit.tasks.size());
   const StepAdvice* advice = this->context->advice->Find(unit.ref);
   WaitFacts facts;
@@ -556,14 +581,15 @@
     facts.permitted = std::ssize(advice->permitted);
     facts.refused = std::ssize(advice->refused);
   }
-  for (const Room* room : rooms.OfService(unit.queue->service)) {
-    const WorkerSession& session = *room->session;
+  for (const WorkerCapacity* capacity :
+       capacities.OfService(unit.queue->service)) {
+    const WorkerSession& session = *capacity->session;
     if (!session.HasLabel(unit.step->required_label)) continue;
     const std::int64_t fits =
         CountFitting(*unit.step, session.info.capacity, tasks);
     if (fits == 0) continue;
     ++facts.eligible;
-    if (room->held) ++facts.held;
+    if (capacity->held) ++facts.held;
     const bool permitted =
         !facts.has_policy ||
         (advice != nullptr && advice->TicketFor(session.Number()) != nullptr);
@@ -571,18 +597,21 @@
     const bool refused = advice != nullptr && advice->Refuses(session.Number());
     if (!facts.gang && !refused) facts.fits_later = true;
   }
-  facts.room = CountRoom(unit, this->GangCandidates(unit, rooms, now));
-  facts.fresh_room = facts.has_policy
-                         ? CountRoom(unit, this->Permitted(unit, rooms, now,
-                                                           PermitNeed::kHolds))
-                         : facts.room;
+  facts.room =
+      CountPlaceableTasks(unit, this->GangCandidates(unit, capacities, now));
+  facts.fresh_room =
+      facts.has_policy
+          ? CountPlaceableTasks(unit, this->Permitted(unit, capacities, now,
+                                                      PermitFilter::kValid))
+          : facts.room;
   facts.asking = advice != nullptr && advice->asking;
   facts.helped_by_question =
       facts.has_policy &&
-      (advice == nullptr || !this->WorkersToAsk(unit, rooms, now).empty());
+      (advice == nullptr || !this->WorkersToAsk(unit, capacities, now).empty());
   if (facts.gang) {
-    facts.room_taken_by_gangs = !this->MayTakeRoom(unit, rooms);
-    std::vector<Candidate> candidates = this->GangCandidates(unit, rooms, now);
+    facts.room_taken_by_gangs = !this->MayReserveCapacity(unit, capacities);
+    std::vector<Candidate> candidates =
+        this->GangCandidates(unit, capacities, now);
     facts.fits_later =
         FindGangFit(*unit.step, tasks, candidates, now).has_value();
   }
--- a/packages/jobs/src/ended_jobs.cc
+++ b/packages/jobs/src/ended_jobs.cc
@@ -36,9 +36,9 @@
   if (!page) {
     this->parts.log->Write("jobs", "ended-not-read",
                            {{"reason", page.error().message()}});
-    this->parts.executor->After(kStoreRetry, this->guard.Wrap([this, after] {
-      this->ReadFrom(after);
-    }));
+    this->parts.executor->After(
+        kStoreRetryDelay,
+        this->guard.Wrap([this, after] { this->ReadFrom(after); }));
     return;
   }
   for (const StoreItem& item : page.value().items) {
@@ -55,9 +55,9 @@
   }
 }
 
-void EndedJobs::ForgetOld() {
+void EndedJobs::RemoveExpired() {
   if (this->removing) return;
-  const Instant old = this->parts.executor->Now() - kRetention;
+  const Instant old = this->parts.executor->Now() - kFinalStateRetention;
   std::vector<JobId> removed;
   for (const Ended& ended : this->order) {
     if (ended.noted > old || removed.size() == kRetentionBatch) break;
@@ -68,8 +68,8 @@
   transaction.conditions.push_back({keys::Owner(), this->parts.token});
   for (const JobId& id : removed) {
     transaction.removals.push_back(keys::OfEnded(id));
-    // Kept until now: whoever reads the keys of a job one by one must not find
-    // its cancellation gone before its end.
+    // The cancellation is kept until now: a reader that reads the keys of a job
+    // one by one must not find its cancellation removed before its final state.
     transaction.removals.push_back(keys::OfCancel(id));
   }
   this->removing = true;
@@ -84,8 +84,8 @@
 
 void EndedJobs::OnRemoved(const std::vector<JobId>& removed,
                           const CommitResult& result) {
-  // Otherwise the next round tries again.
-  if (result.end != CommitEnd::kCommitted) return;
+  // On failure the next call tries again.
+  if (result.end != CommitOutcome::kCommitted) return;
   for (const JobId& id : removed) {
     this->ends.erase(id);
     this->order.pop_front();
--- a/packages/jobs/src/gang_reservations.cc
+++ b/packages/jobs/src/gang_reservations.cc
@@ -9,15 +9,17 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// How long the room of a gang stays empty for it once its start is stored: two
-/// questions about the most workers. Longer only if the policy service fails.
-constexpr Duration kLongestReservation = milliseconds(3000);
-/// Share of the cell's processors that may stand empty for gangs whose question
-/// is being answered before one more may take its room: urgent tasks find room
-/// in the rest.
+/// How long the capacity of a gang stays reserved after its start is stored:
+/// the time of two questions about the maximum number of workers. It takes
+/// longer only if the policy service fails.
+constexpr Duration kMaxReservationTime = milliseconds(3000);
+/// Share of the cell's processors that may be reserved for gangs with an
+/// unanswered question before one more gang may reserve: the rest stays
+/// available to urgent tasks.
 constexpr double kMaxReservedShare = 0.05;
-/// How long a gang that was given up on leaves the room to others.
-constexpr Duration kReservationPause = seconds(1);
+/// How long a gang whose reservation was given up leaves the capacity to
+/// others.
+constexpr Duration kReservationBackoff = seconds(1);
 
 }  // namespace
 
@@ -45,7 +47,7 @@
 void GangReservations::OnStored(const RunRef& first) {
   const StepRef& step = first.task.step;
   const auto found = this->reservations.find(step);
-  // It may be that an earlier run of the same gang was stored late.
+  // An earlier run of the same gang may have been stored late.
   if (found == this->reservations.end()) return;
   if (found->second.runs.front() != first) return;
   found->second.stored = true;
@@ -65,7 +67,7 @@
 bool GangReservations::MayAdd(std::int64_t cell_cpu_milli) const {
   std::int64_t reserved = 0;
   for (const auto& [step, reservation] : this->reservations) {
-    if (reservation.asks) reserved += reservation.cpu_milli;
+    if (reservation.awaits_permission) reserved += reservation.cpu_milli;
   }
   return MayReserve(reserved, cell_cpu_milli);
 }
@@ -92,7 +94,7 @@
   return asked;
 }
 
-bool GangReservations::IsWhole(const Reservation& reservation) {
+bool GangReservations::AllRunsPlanned(const Reservation& reservation) {
   for (std::size_t i = 0; i < reservation.runs.size(); ++i) {
     WorkerSession* session =
         this->context->workers.Find(reservation.workers[i]);
@@ -120,18 +122,18 @@
 std::vector<AskedWorker> GangReservations::Unpermitted(
     const StepRef& step, const Reservation& reservation, Instant moment) {
   const StepAdvice* advice = this->context->advice->Find(step);
-  std::map<WorkerId, SessionNumber> lacking;
+  std::map<WorkerId, SessionNumber> unpermitted;
   for (const WorkerIncarnation& worker : reservation.workers) {
     const WorkerSession* session = this->context->workers.Find(worker);
     if (session == nullptr) continue;
     const Ticket* ticket =
         advice == nullptr ? nullptr : advice->TicketFor(session->Number());
     const bool holds = ticket != nullptr && ticket->expires > moment;
-    if (!holds) lacking.emplace(worker.id, session->Number());
+    if (!holds) unpermitted.emplace(worker.id, session->Number());
   }
   std::vector<AskedWorker> asked;
-  asked.reserve(lacking.size());
-  for (const auto& [worker, number] : lacking) {
+  asked.reserve(unpermitted.size());
+  for (const auto& [worker, number] : unpermitted) {
     asked.push_back({worker, number});
   }
   return asked;
@@ -142,18 +144,19 @@
   if (found == this->reservations.end()) return;
   Reservation& reservation = found->second;
   const Instant now = this->context->executor->Now();
-  reservation.asks =
+  reservation.awaits_permission =
       !this->Unpermitted(step, reservation, now + kTicketMargin).empty();
-  if (!this->IsWhole(reservation)) {
-    this->GiveUp(step, "a member was stopped or lost");
+  if (!this->AllRunsPlanned(reservation)) {
+    this->GiveUp(step, "a run was stopped or its worker was lost");
   } else if (this->IsRefused(step, reservation)) {
     this->GiveUp(step, "a worker is not permitted");
-  } else if (reservation.asks) {
-    // Nothing else could start either while the store does not answer.
-    const bool too_long =
-        reservation.stored && now - reservation.since > kLongestReservation;
-    if (too_long) {
-      this->GiveUp(step, "no permissions in time");
+  } else if (reservation.awaits_permission) {
+    // While the store does not answer, nothing else could start either, so an
+    // unstored reservation has no timeout.
+    const bool timed_out =
+        reservation.stored && now - reservation.since > kMaxReservationTime;
+    if (timed_out) {
+      this->GiveUp(step, "permissions were not granted in time");
     } else {
       this->Ask(step);
     }
@@ -175,12 +178,13 @@
   if (entry == nullptr) return;
   const Queue& queue = this->context->QueueOf(*entry);
   if (!queue.advice) return;
-  this->context->advice->Want({.step = step,
-                               .queue = queue.name,
-                               .policy = *queue.advice,
-                               .limits = {},
-                               .begin_by = this->reservations.at(step).since,
-                               .room_taken = true});
+  this->context->advice->RequestPermissions(
+      {.step = step,
+       .queue = queue.name,
+       .policy = *queue.advice,
+       .deadlines = {},
+       .start_by = this->reservations.at(step).since,
+       .capacity_reserved = true});
 }
 
 void GangReservations::GiveUp(const StepRef& step, std::string_view reason) {
@@ -193,7 +197,7 @@
                              {"stored", reservation.stored ? 1 : 0},
                              {"reason", reason}});
   this->context->runs->StopGang(reservation.runs.front());
-  const Instant later = this->context->executor->Now() + kReservationPause;
+  const Instant later = this->context->executor->Now() + kReservationBackoff;
   for (const RunRef& run : reservation.runs) {
     TaskEntry* task = this->context->jobs.FindTask(run.task);
     if (task != nullptr && !task->open) task->not_before = later;
