--- a/packages/jobs/src/group_owner.cc
+++ b/packages/jobs/src/group_owner.cc
@@ -10,28 +10,28 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// How old the last look at the accepted jobs may be for their number to be
-/// told: the users allow 2 s, and a watch takes up to 1.5 s.
-constexpr Duration kFreshFor = milliseconds(2000);
-/// How old the last look at the workers' entries may be when a start leaves: a
-/// worker that has shrunk counts as such 4.5 s later.
-constexpr Duration kWorkerViewLife = milliseconds(4000);
-/// How long the room of a job that is being stored is kept: longer than the
-/// slowest answers on the users' pages (0.4 s) and a peer's delay together. One
-/// that is stored later is placed anew.
-constexpr Duration kProposalLife = milliseconds(1500);
-/// Longest age that a job's acceptance time is believed to show; beyond, a
-/// clock has jumped.
-constexpr Duration kMaxBelievedAge = seconds(600);
-
-/// How long a run that a former owner ordered may last at a worker that can't
-/// be reached: that owner renews for `kOwnerGrace` at most after its lease at
-/// the store, and the last renewal lasts as long as a worker's lease.
-Duration InheritedFor() {
+/// Maximum age of the view of accepted jobs for their number to be reported.
+/// The number may be 2 s old, and a watch takes up to 1.5 s.
+constexpr Duration kMaxJobViewAge = milliseconds(2000);
+/// Maximum age of the view of the workers' entries when a start is sent. A
+/// reduction of a worker's capacity must be respected after 4.5 s.
+constexpr Duration kMaxWorkerViewAge = milliseconds(4000);
+/// How long the capacity of a job that is being stored is kept: longer than the
+/// slowest answers of a working store (0.4 s) and the delay of a peer together.
+/// A job that is stored later is placed again.
+constexpr Duration kProposalTimeout = milliseconds(1500);
+/// Maximum age that a job's acceptance time may indicate; beyond it, a clock
+/// must have jumped.
+constexpr Duration kMaxPlausibleAge = seconds(600);
+
+/// @return how long a run ordered by a former owner may last on an unreachable
+///   worker: that owner renews for at most `kOwnerOutageTolerance` after its
+///   lease at the store, and the last renewal lasts for the lease of a worker
+Duration MaxInheritedRunTime() {
   const auto lease = static_cast<double>(kWorkerLease.count());
-  return kOwnerGrace +
+  return kOwnerOutageTolerance +
          Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
-         kLapseMargin;
+         kLeaseExpiryMargin;
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
           .jobs = &shared.jobs,
           .token = token,
           .store_writes_per_second = parts.store_writes_per_second},
-      [this] { this->context.step_down("the store knows a newer owner"); });
+      [this] { this->context.step_down("the store has a newer owner"); });
   this->dispatcher = std::make_unique<Dispatcher>(&shared);
   this->runs = std::make_unique<RunControl>(&shared);
   this->incarnations = std::make_unique<IncarnationTracker>(&shared);
@@ -74,7 +74,7 @@
       },
       [this](const StepRef& step) {
         this->reservations->OnAnswer(step);
-        this->dispatcher->Kick();
+        this->dispatcher->SchedulePass();
       });
   this->ended =
       std::make_unique<EndedJobs>(EndedJobs::Parts{.executor = shared.executor,
@@ -98,14 +98,14 @@
 
   this->intake = std::make_unique<PrefixMirror>(
       shared.executor, shared.store, shared.log,
-      PrefixMirror::Options{std::string(keys::kIntake), kIntakeWatchPause},
+      PrefixMirror::Options{std::string(keys::kIntake), kIntakeWatchInterval},
       PrefixMirror::Handlers{
           [this](const StoreEvent& event) { this->OnIntake(event); },
           [this] { this->FinishLoading(); }});
   this->workers = std::make_unique<PrefixMirror>(
       shared.executor, shared.store, shared.log,
       PrefixMirror::Options{std::string(this->schema->WorkerPrefix()),
-                            kWorkerWatchPause},
+                            kWorkerWatchInterval},
       PrefixMirror::Handlers{
           [this](const StoreEvent& event) { this->OnWorker(event); },
           [this] { this->FinishLoading(); }});
@@ -114,9 +114,9 @@
 void GroupOwner::Start() {
   this->context.log->Write("owner", "taking-over",
                            {{"token", this->context.token}});
-  // Side by side: nothing is placed until all three are read. Only an owner
-  // changes progress, or takes a job away, and the former one's writes fail by
-  // now; so what is read at different moments fits together.
+  // Read concurrently: nothing is placed until all three are complete. Only an
+  // owner changes progress or removes a job, and writes of the former owner
+  // already fail, so data read at different times is consistent.
   this->intake->Start();
   this->stored->Read();
   this->workers->Start();
@@ -125,11 +125,11 @@
 
 void GroupOwner::SetDesired(std::shared_ptr<const DesiredState> desired) {
   this->context.SetDesired(std::move(desired));
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
-void GroupOwner::SetLanes(const std::vector<AdviceLane>& lanes) {
-  this->advice->SetLanes(lanes);
+void GroupOwner::SetClients(const std::vector<AdviceClient>& clients) {
+  this->advice->SetClients(clients);
 }
 
 void GroupOwner::OnIntake(const StoreEvent& event) {
@@ -137,24 +137,24 @@
   if (key.starts_with(keys::kCancels)) {
     const JobId id(key.substr(keys::kCancels.size()));
     if (event.deleted) {
-      this->cancelled_early.erase(id);
+      this->early_cancellations.erase(id);
     } else {
       this->OnCancel(id);
     }
   } else if (key.starts_with(keys::kJobs) && !event.deleted) {
-    // One that is gone has ended: an owner has removed it.
+    // A deleted job has ended: an owner removed it.
     this->OnJob(JobId(key.substr(keys::kJobs.size())), event.item.value);
   }
 }
 
-void GroupOwner::OnAnnounced(const AnnouncedJob& job) {
+void GroupOwner::OnJobAnnounced(const AnnouncedJob& job) {
   if (job.revision == 0) {
     this->OnProposed(job.id, job.record);
     return;
   }
-  // Failure: a process learns late that its write was done, announces the job,
-  // and meanwhile the job has ended under a former owner; it would run again.
-  // A job that was stored before this ownership is found by reading, or has
+  // Failure: a process learns late that its write succeeded and announces the
+  // job, which has ended under a former owner meanwhile; it would run again. A
+  // job stored before this ownership is found by reading the store, or has
   // ended.
   if (job.revision > this->context.token) this->OnJob(job.id, job.record);
 }
@@ -163,14 +163,14 @@
   const bool known =
       this->context.jobs.Find(id) != nullptr || this->ended->Find(id);
   if (!this->loaded || known) return;
-  // The job's start is written down while the job itself is being stored, which
-  // spares a slow store's answer.
-  JobEntry* entry = this->Learn(id, record);
-  // One that was cancelled is in the store for certain.
+  // The start is stored while the job itself is being stored, which saves one
+  // answer of a slow store.
+  JobEntry* entry = this->AddJob(id, record);
+  // A cancelled job is certainly in the store.
   if (entry == nullptr || IsFinal(entry->state)) return;
   entry->stored = false;
-  this->context.executor->After(kProposalLife, this->guard.Wrap([this, id] {
-    this->ParkUnlessStored(id);
+  this->context.executor->After(kProposalTimeout, this->guard.Wrap([this, id] {
+    this->ParkIfNotStored(id);
   }));
 }
 
@@ -178,13 +178,13 @@
   if (this->ended->Find(id)) return;
   JobEntry* known = this->context.jobs.Find(id);
   if (known == nullptr) {
-    (void)this->Learn(id, record);
+    (void)this->AddJob(id, record);
   } else if (!known->stored) {
-    this->Confirm(known);
+    this->ConfirmStored(known);
   }
 }
 
-JobEntry* GroupOwner::Learn(const JobId& id, std::string_view record) {
+JobEntry* GroupOwner::AddJob(const JobId& id, std::string_view record) {
   std::optional<Job> job = DecodeJob(record);
   if (!job || job->id != id) {
     this->context.log->Write("jobs", "record-broken",
@@ -194,36 +194,36 @@
   const Instant now = this->context.executor->Now();
   const Duration age =
       milliseconds(this->context.executor->UnixMs() - job->accepted_unix_ms);
-  const bool believed = age > Duration::zero() && age < kMaxBelievedAge;
+  const bool plausible = age > Duration::zero() && age < kMaxPlausibleAge;
   JobEntry* entry = this->context.jobs.Add(std::move(*job), now);
-  if (believed) entry->learnt = now - age;
+  if (plausible) entry->learned_at = now - age;
   if (!this->loaded) return entry;
   this->ClaimProgress(entry);
   this->context.log->Write("jobs", "job-learnt",
                            {{"job", id.Text()},
                             {"queue", entry->job.queue.name.Text()},
                             {"steps", entry->job.spec.steps.size()}});
-  if (this->cancelled_early.erase(id) > 0) this->OnCancel(id);
-  this->dispatcher->Kick();
+  if (this->early_cancellations.erase(id) > 0) this->OnCancel(id);
+  this->dispatcher->SchedulePass();
   return entry;
 }
 
-void GroupOwner::Confirm(JobEntry* entry) {
+void GroupOwner::ConfirmStored(JobEntry* entry) {
   entry->stored = true;
   this->context.log->Write(
       "jobs", "job-stored",
       {{"job", entry->job.id.Text()}, {"starts", entry->on_stored.size()}});
-  this->context.jobs.Resume(entry);
+  this->context.jobs.Reactivate(entry);
   for (const auto& start : std::exchange(entry->on_stored, {})) start();
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
-void GroupOwner::ParkUnlessStored(const JobId& id) {
+void GroupOwner::ParkIfNotStored(const JobId& id) {
   JobEntry* entry = this->context.jobs.Find(id);
   if (entry == nullptr || entry->stored) return;
   this->context.log->Write("jobs", "job-not-stored", {{"job", id.Text()}});
   entry->on_stored.clear();
-  this->context.jobs.Park(entry);
+  this->context.jobs.Deactivate(entry);
   this->runs->StopJob(*entry);
   this->parked.emplace_back(this->context.executor->Now(), id);
 }
@@ -231,25 +231,25 @@
 void GroupOwner::OnCancel(const JobId& id) {
   JobEntry* entry = this->context.jobs.Find(id);
   if (entry == nullptr || !this->loaded) {
-    this->cancelled_early.insert(id);
+    this->early_cancellations.insert(id);
     return;
   }
-  // Only a job that is in the store can be cancelled.
+  // Only a job in the store can be cancelled.
   entry->stored = true;
   if (!this->context.jobs.Cancel(entry)) return;
   // The cancellation itself is stored already.
-  entry->shown = JobState::kCancelled;
+  entry->published_state = JobState::kCancelled;
   this->context.log->Write("jobs", "job-cancelled", {{"job", id.Text()}});
   this->runs->StoreFinal(entry);
-  this->dispatcher->Kick();
+  this->dispatcher->SchedulePass();
 }
 
 void GroupOwner::OnWorker(const StoreEvent& event) {
   const std::string_view prefix = this->schema->WorkerPrefix();
   const std::string id = event.item.key.substr(prefix.size());
-  WorkerSession* session = this->context.workers.At(WorkerId(id));
+  WorkerSession* session = this->context.workers.FindLatest(WorkerId(id));
   if (event.deleted) {
-    this->Unlist(session, event.item.revision);
+    this->MarkUnlisted(session, event.item.revision);
     return;
   }
   const Result<WorkerInfo> info =
@@ -258,15 +258,15 @@
     this->context.log->Write(
         "workers", "entry-broken",
         {{"worker", id}, {"reason", info.error().message()}});
-    // Failure: something else overwrites a worker's entry, and tasks go on
-    // being started at a worker that nothing names any more.
-    this->Unlist(session, event.item.revision);
+    // Failure: a worker's entry is overwritten by something else, and tasks are
+    // still started on a worker that no entry names.
+    this->MarkUnlisted(session, event.item.revision);
     return;
   }
   this->AddWorker(info.value());
 }
 
-void GroupOwner::Unlist(WorkerSession* session, Revision revision) {
+void GroupOwner::MarkUnlisted(WorkerSession* session, Revision revision) {
   if (session == nullptr || !std::exchange(session->listed, false)) return;
   this->context.log->Write("workers", "worker-unlisted",
                            {{"worker", Text(session->Incarnation())},
@@ -276,10 +276,10 @@
 
 void GroupOwner::AddWorker(const WorkerInfo& info) {
   const SessionNumber first_new = this->context.workers.NumberLimit();
-  WorkerSession* session =
-      this->incarnations->NoteEntry(info, this->elected_at + InheritedFor());
+  WorkerSession* session = this->incarnations->NoteEntry(
+      info, this->elected_at + MaxInheritedRunTime());
   if (session == nullptr) return;
-  // Those found at a takeover are told of by their number.
+  // Workers found during a takeover are only logged as a total.
   if (session->Number() >= first_new && this->workers->Listed()) {
     this->context.log->Write("workers", "worker-listed",
                              {{"worker", Text(info.incarnation)},
@@ -297,8 +297,8 @@
   session->info.incarnation = incarnation;
   session->listed = true;
   if (session->Overcommitted()) this->runs->WithdrawPlanned(session);
-  if (this->loaded) this->holds->Pump(session);
-  this->dispatcher->Kick();
+  if (this->loaded) this->holds->SendIfDue(session);
+  this->dispatcher->SchedulePass();
 }
 
 void GroupOwner::ClaimProgress(JobEntry* entry) {
@@ -310,9 +310,9 @@
     return;
   }
   entry->progress_revision = item->revision;
-  entry->shown = entry->state;
+  entry->published_state = entry->state;
   if (IsFinal(entry->state)) {
-    // Written so by the version before, which kept ends as progress.
+    // Written by the previous version, which stored ends as progress.
     this->runs->StoreFinal(entry);
   } else {
     this->InheritRuns(entry);
@@ -332,23 +332,23 @@
                             {"took_ms", WholeMilliseconds(took)}});
   this->context.metrics->Sample("takeover_read_us", "",
                                 static_cast<double>(took.count()));
-  this->holds->PumpAll();
-  this->dispatcher->Kick();
+  this->holds->SendAllDue();
+  this->dispatcher->SchedulePass();
   this->ended->Read();
 }
 
 void GroupOwner::TakeOver() {
   const std::vector<JobEntry*> active = this->context.jobs.Active();
   for (JobEntry* entry : active) this->ClaimProgress(entry);
-  for (const JobId& id : std::set<JobId>(this->cancelled_early)) {
+  for (const JobId& id : std::set<JobId>(this->early_cancellations)) {
     if (this->context.jobs.Find(id) == nullptr) continue;
-    this->cancelled_early.erase(id);
+    this->early_cancellations.erase(id);
     this->OnCancel(id);
   }
 }
 
-void GroupOwner::ForgetParked() {
-  const Instant old = this->context.executor->Now() - kRetention;
+void GroupOwner::RemoveExpiredProposals() {
+  const Instant old = this->context.executor->Now() - kFinalStateRetention;
   while (!this->parked.empty() && this->parked.front().first < old) {
     const JobId id = this->parked.front().second;
     this->parked.pop_front();
@@ -362,7 +362,7 @@
 }
 
 void GroupOwner::InheritRuns(JobEntry* entry) {
-  const Instant until = this->elected_at + InheritedFor();
+  const Instant until = this->elected_at + MaxInheritedRunTime();
   for (const auto& [number, occurrence] : entry->occurrences) {
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
       const std::vector<TaskEntry>& tasks = occurrence.steps[s].tasks;
@@ -381,17 +381,19 @@
   const JobEntry* entry = this->context.jobs.Find(id);
   if (entry == nullptr) return this->ended->Find(id);
   if (!entry->stored) return std::nullopt;
-  return JobStatus{entry->shown, {}};
+  return JobStatus{entry->published_state, {}};
 }
 
-bool GroupOwner::Fresh() const {
+bool GroupOwner::HasFreshJobView() const {
   return this->loaded &&
-         this->context.executor->Now() < this->intake->FreshAt() + kFreshFor;
+         this->context.executor->Now() <
+             this->intake->LastAnsweredCallAt() + kMaxJobViewAge;
 }
 
 bool GroupOwner::HasFreshWorkerView() {
   const Instant now = this->context.executor->Now();
-  if (now < this->workers->FreshAt() + kWorkerViewLife) return true;
+  if (now < this->workers->LastAnsweredCallAt() + kMaxWorkerViewAge)
+    return true;
   this->workers->Refresh();
   return false;
 }
@@ -405,27 +407,27 @@
 
 void GroupOwner::Tick() {
   if (this->loaded) {
-    this->OpenDue();
-    this->holds->PumpAll();
+    this->OpenDueOccurrences();
+    this->holds->SendAllDue();
     this->reservations->CheckAll();
-    this->ended->ForgetOld();
-    this->stored->ForgetUnclaimed();
-    this->ForgetParked();
-    this->dispatcher->Kick();
-    this->Publish();
+    this->ended->RemoveExpired();
+    this->stored->RemoveUnclaimed();
+    this->RemoveExpiredProposals();
+    this->dispatcher->SchedulePass();
+    this->PublishMetrics();
   }
-  this->context.executor->After(kTick,
+  this->context.executor->After(kTickInterval,
                                 this->guard.Wrap([this] { this->Tick(); }));
 }
 
-void GroupOwner::OpenDue() {
+void GroupOwner::OpenDueOccurrences() {
   const std::int64_t unix_ms = this->context.executor->UnixMs();
   for (JobEntry* entry : this->context.jobs.Active()) {
-    JobTable::OpenDue(entry, unix_ms);
+    JobTable::OpenDueOccurrences(entry, unix_ms);
   }
 }
 
-void GroupOwner::Publish() {
+void GroupOwner::PublishMetrics() {
   std::size_t running = 0;
   for (const auto& [id, session] : this->context.workers) {
     running += session->runs.size();
--- a/packages/jobs/src/group_owner.h
+++ b/packages/jobs/src/group_owner.h
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
+#include "callback_guard.h"
 #include "dispatcher.h"
 #include "ended_jobs.h"
 #include "gang_reservations.h"
-#include "guard.h"
 #include "hold_loop.h"
 #include "incarnation_tracker.h"
 #include "mustardproxy/jobs/job_peers.h"
@@ -28,9 +28,9 @@
 
 namespace mustardproxy::jobs {
 
-/// One ownership of a placement group, from the moment its token was drawn
-/// until a newer owner is met: reads what is stored, fences the workers, and
-/// from then on decides for all jobs.
+/// One ownership of a placement group, from the acquisition of its token until
+/// a newer owner is detected. Reads the stored state, fences the workers, and
+/// then schedules all jobs.
 class GroupOwner {
  public:
   struct Parts {
@@ -56,58 +56,59 @@
 
   void Start();
   void SetDesired(std::shared_ptr<const DesiredState> desired);
-  void SetLanes(const std::vector<AdviceLane>& lanes);
-  /// @return true once all that is stored has been read
+  void SetClients(const std::vector<AdviceClient>& clients);
+  /// @return true once all stored state has been read
   [[nodiscard]] bool Loaded() const { return this->loaded; }
-  /// @return true if it has heard lately which jobs were accepted; a former
-  ///   owner that is cut off from the store has not, and must not count them
-  [[nodiscard]] bool Fresh() const;
+  /// @return true if the view of accepted jobs is recent. A former owner that
+  ///   is cut off from the store does not learn of new jobs and must not count
+  ///   them.
+  [[nodiscard]] bool HasFreshJobView() const;
 
-  /// A process has stored this job, or is storing it.
-  void OnAnnounced(const AnnouncedJob& job);
+  /// Called when a process has stored this job or is storing it.
+  void OnJobAnnounced(const AnnouncedJob& job);
   void OnCancel(const JobId& id);
-  /// @return what callers are told; nothing for an unknown job
+  /// @return the status reported to callers; nothing for an unknown job
   [[nodiscard]] std::optional<JobStatus> StatusOf(const JobId& id) const;
   [[nodiscard]] std::int64_t PendingIn(const QueueName& queue) const;
 
  private:
-  /// The job is in the store.
+  /// Called for a job that is in the store.
   void OnJob(const JobId& id, std::string_view record);
-  /// The job is being stored.
+  /// Called for a job that is being stored.
   void OnProposed(const JobId& id, std::string_view record);
-  /// @return null if the record can't be read
-  JobEntry* Learn(const JobId& id, std::string_view record);
-  void Confirm(JobEntry* entry);
-  /// Gives the room of a job back that has not been stored for long.
-  void ParkUnlessStored(const JobId& id);
+  /// @return null if the record can't be decoded
+  JobEntry* AddJob(const JobId& id, std::string_view record);
+  void ConfirmStored(JobEntry* entry);
+  /// Releases the capacity of a job that was not stored in time.
+  void ParkIfNotStored(const JobId& id);
   void OnIntake(const StoreEvent& event);
   void OnWorker(const StoreEvent& event);
   void AddWorker(const WorkerInfo& info);
   /// See OwnerContext.
   bool HasFreshWorkerView();
-  /// No entry names the worker any more: nothing is started there.
-  void Unlist(WorkerSession* session, Revision revision);
-  /// Applies what former owners have stored of a job's progress, if anything.
+  /// Stops starts on a worker that no entry names any more.
+  void MarkUnlisted(WorkerSession* session, Revision revision);
+  /// Applies the progress of a job that former owners have stored, if any.
   void ClaimProgress(JobEntry* entry);
-  /// Forgets jobs that were proposed and never stored.
-  void ForgetParked();
-  /// Goes to work once jobs, progress and workers have all been read.
+  /// Removes jobs that were proposed and never stored.
+  void RemoveExpiredProposals();
+  /// Starts scheduling once jobs, progress and workers have all been read.
   void FinishLoading();
   void TakeOver();
   void InheritRuns(JobEntry* entry);
   void Tick();
-  void OpenDue();
-  void Publish();
+  void OpenDueOccurrences();
+  void PublishMetrics();
 
   const PlatformSchema* schema;
   OwnerContext context;
-  /// When the token was drawn.
+  /// When the fencing token was acquired.
   Instant elected_at;
-  /// Jobs that were proposed and not stored in time, the oldest first.
+  /// Jobs that were proposed and not stored in time, oldest first.
   std::deque<std::pair<Instant, JobId>> parked;
   bool loaded = false;
   /// Cancellations that were read before their jobs.
-  std::set<JobId> cancelled_early;
+  std::set<JobId> early_cancellations;
   std::unique_ptr<ProgressWriter> writer;
   std::unique_ptr<EndedJobs> ended;
   std::unique_ptr<StoredProgress> stored;
@@ -119,7 +120,7 @@
   std::unique_ptr<Dispatcher> dispatcher;
   std::unique_ptr<PrefixMirror> intake;
   std::unique_ptr<PrefixMirror> workers;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/hold_loop.cc
+++ b/packages/jobs/src/hold_loop.cc
@@ -14,11 +14,12 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Most pauses of `kHoldRetry` between two holds of a worker that is silent.
+/// Maximum delay between two holds of an unresponsive worker, in multiples of
+/// `kHoldRetryDelay`.
 constexpr std::int32_t kMaxRetryFactor = 4;
-/// How long after a life has answered it is told of ends: less than a worker
-/// takes to start again.
-constexpr Duration kTellWithin = milliseconds(250);
+/// Ends are acknowledged to an incarnation only within this time after its last
+/// response; shorter than a worker takes to restart.
+constexpr Duration kAcknowledgeWindow = milliseconds(250);
 
 }  // namespace
 
@@ -26,51 +27,55 @@
 
 Duration HoldLoop::Wait() const {
   const auto workers = static_cast<std::int64_t>(this->context->workers.Size());
-  const Duration wait = Duration(seconds(workers)) / kIdleHoldsPerSecond;
-  return std::clamp(wait, kHoldWait, kLongestHoldWait);
+  const Duration wait = Duration(seconds(workers)) / kMaxIdleHoldsPerSecond;
+  return std::clamp(wait, kHoldWait, kMaxHoldWait);
 }
 
-bool HoldLoop::Due(const WorkerSession& session) const {
+bool HoldLoop::IsDue(const WorkerSession& session) const {
   if (session.hold_in_flight || session.gone) return false;
   if (session.info.address.empty()) return false;
-  // An entry of a service that operators don't name is no worker of theirs.
-  const bool ours =
-      !session.runs.empty() || this->context->Names(session.info.service);
-  if (!ours) return false;
+  // Workers of services that are not in the desired state are not managed.
+  const bool managed =
+      !session.runs.empty() || this->context->HasService(session.info.service);
+  if (!managed) return false;
   const Instant now = this->context->executor->Now();
   if (now < session.next_hold) return false;
-  // Ends that are not stored yet would only be listed again. Yet the lease of
-  // what runs must not lapse while the store is away.
+  // The worker would only list again the ends that are not stored yet. The
+  // lease of its runs must still be renewed while the store is unavailable.
   const bool renewal_due = now >= session.hold_sent + this->Wait();
   if (!session.unstored_ends.empty() && !renewal_due) return false;
-  const bool untold = session.noted_end > session.told_end;
-  return !session.runs.empty() || !session.fenced || untold ||
-         (session.suspect && session.listed);
+  const bool unacknowledged =
+      session.durable_end > session.sent_acknowledged_end;
+  return !session.runs.empty() || !session.fenced || unacknowledged ||
+         (session.unresponsive && session.listed);
 }
 
 HoldOrder HoldLoop::MakeOrder(const WorkerSession& session, Instant now) const {
   HoldOrder order;
   order.token = session.token;
-  // Failure: a worker has started again unnoticed, and forgets its first ends,
-  // which nobody has read, by the number that its former life had reached. What
-  // was told is not repeated, and only a worker is told whose life has just
-  // answered.
-  const bool untold = session.noted_end > session.told_end;
+  // Failure: a worker has restarted unnoticed, and the sequence number reached
+  // by its former incarnation makes it forget its first ends before they were
+  // read. An acknowledgement is therefore sent only once, and only to an
+  // incarnation that has just responded.
+  const bool unacknowledged =
+      session.durable_end > session.sent_acknowledged_end;
   const bool verified =
-      !session.suspect && now < session.verified + kTellWithin;
-  if (untold && verified) order.last_noted_end = session.noted_end;
-  // Failure: a worker is gone for good and each try to reach it puts the moment
-  // off at which its lease has lapsed for certain, so that its tasks never
-  // start elsewhere. A silent worker is only asked, and its lease runs out.
-  if (!session.suspect) {
+      !session.unresponsive && now < session.verified + kAcknowledgeWindow;
+  if (unacknowledged && verified) order.acknowledged_end = session.durable_end;
+  // Failure: a worker is permanently lost, and each attempt to reach it
+  // postpones the time at which its lease is certain to have expired, so that
+  // its tasks are never started elsewhere. An unresponsive worker is therefore
+  // only queried, and its lease runs out.
+  if (!session.unresponsive) {
     order.lease_until_ms = session.LeaseUntilMs(now, kWorkerLease);
   }
   const bool checking =
       std::any_of(session.runs.begin(), session.runs.end(),
-                  [](const auto& run) { return run.second.stop_noted; });
-  const bool wait = session.fenced && !session.suspect &&
+                  [](const auto& run) { return run.second.stop_acknowledged; });
+  const bool wait = session.fenced && !session.unresponsive &&
                     !session.runs.empty() && !checking &&
-                    (verified || !untold) && session.unstored_ends.empty();
+                    (verified || !unacknowledged) &&
+                    session.unstored_ends.empty();
   order.wait = wait ? this->Wait() : Duration::zero();
   if (session.Quarantined()) {
     order.wait = std::min(order.wait, kQuarantineHoldWait);
@@ -78,8 +83,8 @@
   return order;
 }
 
-void HoldLoop::Pump(WorkerSession* session) {
-  if (!this->Due(*session)) return;
+void HoldLoop::SendIfDue(WorkerSession* session) {
+  if (!this->IsDue(*session)) return;
   if (!this->context->MayAct()) return;
   const Instant now = this->context->executor->Now();
   HoldOrder order = this->MakeOrder(*session, now);
@@ -94,24 +99,27 @@
       }));
 }
 
-void HoldLoop::PumpAll() {
+void HoldLoop::SendAllDue() {
   const Instant now = this->context->executor->Now();
   std::vector<WorkerId> finished;
   for (const auto& [id, session] : this->context->workers) {
-    // A run whose start was never sent has no lease that could lapse.
-    if (now >= session->LapsesAt()) {
+    // A run whose start order was never sent has no lease that could expire.
+    if (now >= session->LeaseExpiresAt()) {
       if (session->HasOrdered()) {
-        this->context->runs->LoseAll(session.get(), LossCause::kLeaseLapsed);
+        this->context->runs->HandleWorkerLoss(session.get(),
+                                              LossCause::kLeaseLapsed);
       }
-      if (session->suspect) this->context->runs->ReleaseBlocked(session.get());
+      if (session->unresponsive)
+        this->context->runs->ReleaseBlocked(session.get());
     }
-    this->Pump(session.get());
+    this->SendIfDue(session.get());
     const bool over = !session->listed || session->gone;
     if (over && session->runs.empty()) finished.push_back(id);
   }
   for (const WorkerId& id : finished) {
-    WorkerSession* session = this->context->workers.At(id);
-    // An entry of a life that is over stays until the platform removes it.
+    WorkerSession* session = this->context->workers.FindLatest(id);
+    // The store entry of an incarnation that has ended stays until the platform
+    // removes it.
     if (session->listed) continue;
     this->context->health.Remove(id);
     this->context->workers.Remove(id);
@@ -125,39 +133,41 @@
   WorkerSession* session =
       this->context->runs->NoteAnswer(worker, asked, result.order, &result);
   if (session == nullptr) return;
-  if (!MayBeSame(session->Incarnation(), worker)) {
-    // The hold carried the token of the former life.
-    this->Pump(session);
+  if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
+    // The hold carried the token for the former incarnation.
+    this->SendIfDue(session);
     return;
   }
-  if (result.order.end != OrderEnd::kDone) {
-    this->OnSilence(session, result.order.end,
-                    asked + std::max(sent.wait, kQuickBreak));
+  if (result.order.end != OrderOutcome::kDone) {
+    this->OnHoldFailed(session, result.order.end,
+                       asked + std::max(sent.wait, kConnectionClosedThreshold));
     return;
   }
-  session->told_end = std::max(session->told_end, sent.last_noted_end);
+  session->sent_acknowledged_end =
+      std::max(session->sent_acknowledged_end, sent.acknowledged_end);
   this->OnAnswer(session, asked, result);
 }
 
-void HoldLoop::OnSilence(WorkerSession* session, OrderEnd end,
-                         Instant broken_before) {
+void HoldLoop::OnHoldFailed(WorkerSession* session, OrderOutcome end,
+                            Instant broken_before) {
   const Instant now = this->context->executor->Now();
-  const bool exact = end == OrderEnd::kUncertain && now < broken_before;
+  const bool exact = end == OrderOutcome::kUncertain && now < broken_before;
   if (session->MarkSilent(now, exact)) {
     this->context->log->Write("workers", "worker-silent",
                               {{"worker", Text(session->Incarnation())},
                                {"end", Name(end)},
                                {"runs", session->runs.size()}});
   }
-  session->silent_holds = std::min(session->silent_holds + 1, kMaxRetryFactor);
-  session->next_hold = now + kHoldRetry * session->silent_holds;
+  session->unanswered_holds =
+      std::min(session->unanswered_holds + 1, kMaxRetryFactor);
+  session->next_hold = now + kHoldRetryDelay * session->unanswered_holds;
 }
 
 void HoldLoop::OnAnswer(WorkerSession* session, Instant asked,
                         const HoldResult& result) {
-  const bool back = std::exchange(session->suspect, false);
+  const bool back = std::exchange(session->unresponsive, false);
   const bool first = !std::exchange(session->fenced, true);
-  session->silent_holds = 0;
+  session->unanswered_holds = 0;
   session->verified = this->context->executor->Now();
   if (first) this->context->jobs.NoteAlive(session->Incarnation());
   if (first || back) {
@@ -167,10 +177,10 @@
                                {"token", session->token},
                                {"running", result.running.size()},
                                {"ended", result.ended.size()}});
-    this->context->dispatcher->Kick();
+    this->context->dispatcher->SchedulePass();
   }
   this->ReadRunning(session, result);
-  this->DropUnlisted(session, asked, result);
+  this->EndUnlistedRuns(session, asked, result);
   this->ReadEnded(session, result);
 }
 
@@ -180,11 +190,11 @@
     this->context->jobs.NoteBegun(listed.run.task.step.job);
     SessionRun* record = session->FindRun(listed.run);
     if (record == nullptr) {
-      this->Adopt(session, listed);
+      this->StopUnwantedRun(session, listed);
       continue;
     }
     record->seen_running = now;
-    if (record->quarantined && record->Survived() >= record->proving_time) {
+    if (record->quarantined && record->Survived() >= record->probation_period) {
       session->EndQuarantine(listed.run);
       this->context->log->Write(
           "jobs", "quarantine-ended",
@@ -192,28 +202,30 @@
            {"run", listed.run.run},
            {"worker", Text(session->Incarnation())},
            {"survived_ms", WholeMilliseconds(record->Survived())}});
-      this->context->dispatcher->Kick();
+      this->context->dispatcher->SchedulePass();
     }
     if (record->percent != listed.percent) {
       record->percent = listed.percent;
-      record->moved_at = now;
+      record->last_progress_at = now;
     }
     this->context->jobs.NoteCheckpoint(listed.run, listed.checkpoint);
   }
 }
 
-void HoldLoop::Adopt(WorkerSession* session, const RunningRun& listed) {
+void HoldLoop::StopUnwantedRun(WorkerSession* session,
+                               const RunningRun& listed) {
   const Step* step = this->context->jobs.FindStep(listed.run.task.step);
-  // It is none of the runs that are wanted: its job is over, or it was given up
-  // on. It takes room until it has ended.
+  // The run is not wanted: its job is final or the run was already considered
+  // ended. It occupies resources until it ends.
   SessionRun record;
-  // Failure: its job is not known any more, nobody can tell what it takes, and
-  // the worker gets more than it has room for. Until it has ended, which takes
-  // the worker a fraction of a second, nothing else starts there.
-  record.takes = step == nullptr ? session->info.capacity : Takes(*step);
+  // Failure: the job is not known any more, so the resources of the run are
+  // unknown and the worker is overcommitted. Until the run has ended, which
+  // takes a fraction of a second, nothing else is started on the worker.
+  record.resources =
+      step == nullptr ? session->info.capacity : TaskDemand(*step);
   record.phase = RunPhase::kStarted;
   record.started_at = this->context->executor->Now();
-  record.moved_at = record.started_at;
+  record.last_progress_at = record.started_at;
   record.expected_end = record.started_at;
   session->AddRun(listed.run, record);
   this->context->log->Write("jobs", "run-unwanted",
@@ -223,13 +235,14 @@
   this->context->runs->Stop(session, listed.run);
 }
 
-void HoldLoop::DropUnlisted(WorkerSession* session, Instant asked,
-                            const HoldResult& result) {
-  if (result.more_ended) return;
-  const std::set<RunRef> listed = result.Listed();
+void HoldLoop::EndUnlistedRuns(WorkerSession* session, Instant asked,
+                               const HoldResult& result) {
+  if (result.ended_truncated) return;
+  const std::set<RunRef> listed = result.ListedRuns();
   std::vector<RunRef> gone;
   for (const auto& [run, record] : session->runs) {
-    const bool must_show = record.listed_from && *record.listed_from <= asked &&
+    const bool must_show = record.expected_listed_from &&
+                           *record.expected_listed_from <= asked &&
                            !record.order_in_flight;
     if (must_show && !listed.contains(run)) gone.push_back(run);
   }
@@ -241,16 +254,17 @@
 void HoldLoop::ReadEnded(WorkerSession* session, const HoldResult& result) {
   const WorkerIncarnation worker = session->Incarnation();
   auto batch = std::make_shared<EndBatch>();
-  batch->last_number = session->read_end;
-  // One for this loop itself, so that it ends only once.
+  batch->last_number = session->received_end;
+  // Counts this function itself as one open write, so that the batch completes
+  // only once.
   batch->open_writes = 1;
   session->unstored_ends.push_back(batch);
   const auto stored = this->guard.Wrap([this, worker, batch] {
     if (--batch->open_writes == 0) this->OnStored(worker);
   });
   for (const EndedRun& ended : result.ended) {
-    if (ended.number <= session->read_end) continue;
-    session->read_end = ended.number;
+    if (ended.number <= session->received_end) continue;
+    session->received_end = ended.number;
     this->context->jobs.NoteBegun(ended.run.task.step.job);
     batch->last_number = ended.number;
     ++batch->open_writes;
@@ -267,11 +281,11 @@
   if (session == nullptr) return;
   auto& batches = session->unstored_ends;
   while (!batches.empty() && batches.front()->open_writes == 0) {
-    session->noted_end =
-        std::max(session->noted_end, batches.front()->last_number);
+    session->durable_end =
+        std::max(session->durable_end, batches.front()->last_number);
     batches.pop_front();
   }
-  if (batches.empty()) this->Pump(session);
+  if (batches.empty()) this->SendIfDue(session);
 }
 
 }  // namespace mustardproxy::jobs
--- a/packages/jobs/src/incarnation_tracker.cc
+++ b/packages/jobs/src/incarnation_tracker.cc
@@ -13,13 +13,13 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// How long a worker may go on with what an order started that was meant for
-/// its former life: the lease in it counts on another clock, and the worker
-/// shortens it to the longest that it gives.
-Duration LongestLease() {
-  const auto lease = static_cast<double>(kLongestWorkerLease.count());
+/// Maximum time for which a worker may execute a run started by an order for
+/// its former incarnation. The lease in the order refers to the clock of that
+/// incarnation, and the worker limits it to the longest lease that it grants.
+Duration MaxLeaseDuration() {
+  const auto lease = static_cast<double>(kMaxWorkerLease.count());
   return Duration(static_cast<std::int64_t>(lease / kSlowestWorkerClock)) +
-         kLapseMargin;
+         kLeaseExpiryMargin;
 }
 
 }  // namespace
@@ -29,17 +29,19 @@
 
 WorkerSession* IncarnationTracker::NoteEntry(const WorkerInfo& info,
                                              Instant inherited_until) {
-  WorkerSession* known = this->context->workers.At(info.incarnation.id);
+  WorkerSession* known = this->context->workers.FindLatest(info.incarnation.id);
   if (known == nullptr) {
     this->context->health.Add(info.incarnation.id);
-    return this->Enter(info, inherited_until);
+    return this->AddSession(info, inherited_until);
   }
-  if (!MayBeSame(known->Incarnation(), info.incarnation)) {
-    // A life that was met by its answer has yet to write its first entry.
-    if (info.incarnation.born_ms < known->Incarnation().born_ms) return nullptr;
-    return this->BeginLife(known, info, "entry", nullptr);
+  if (!MayBeSameIncarnation(known->Incarnation(), info.incarnation)) {
+    // An incarnation that was first seen in a response has not written its
+    // entry yet.
+    if (info.incarnation.start_unix_ms < known->Incarnation().start_unix_ms)
+      return nullptr;
+    return this->BeginIncarnation(known, info, "entry", nullptr);
   }
-  known->LearnBirth(info.incarnation.born_ms);
+  known->SetStartTimeIfUnknown(info.incarnation.start_unix_ms);
   known->described = true;
   return known;
 }
@@ -50,88 +52,92 @@
                                               const HoldResult* lists) {
   WorkerSession* known = this->context->workers.Find(meant);
   if (known == nullptr) return nullptr;
-  // Another worker at its address says nothing about lives under this id.
-  if (result.end == OrderEnd::kOtherLife) return known;
-  const WorkerIncarnation answered{meant.id, result.born_ms};
-  if (MayBeSame(known->Incarnation(), answered)) {
-    known->LearnBirth(result.born_ms);
+  // A different worker at this address says nothing about the incarnations of
+  // this id.
+  if (result.end == OrderOutcome::kOtherIncarnation) return known;
+  const WorkerIncarnation answered{meant.id, result.start_unix_ms};
+  if (MayBeSameIncarnation(known->Incarnation(), answered)) {
+    known->SetStartTimeIfUnknown(result.start_unix_ms);
     return known;
   }
-  // An answer may be overtaken by one of the next life. But no former life
-  // answers what was asked once the present one was known, whatever the clock
-  // said at its start.
+  // A response may arrive after one of the next incarnation. However, a former
+  // incarnation cannot respond to an order that was sent after the current one
+  // was known, whatever start time the clocks gave them.
   const bool later = asked >= known->KnownSince() ||
-                     result.born_ms > known->Incarnation().born_ms;
+                     result.start_unix_ms > known->Incarnation().start_unix_ms;
   if (!later) return nullptr;
-  return this->MeetLife(known, answered, "answer", lists);
+  return this->BeginUndescribedIncarnation(known, answered, "answer", lists);
 }
 
 WorkerSession* IncarnationTracker::NoteStored(const WorkerIncarnation& worker,
                                               Instant inherited_until) {
-  WorkerSession* known = this->context->workers.At(worker.id);
+  WorkerSession* known = this->context->workers.FindLatest(worker.id);
   if (known == nullptr) {
-    // Its entry is gone from the store; the worker may live on all the same.
+    // The entry was removed from the store, but the worker may still be
+    // running.
     WorkerInfo unknown;
     unknown.incarnation = worker;
-    WorkerSession* added = this->Enter(unknown, inherited_until);
+    WorkerSession* added = this->AddSession(unknown, inherited_until);
     added->listed = false;
     return added;
   }
-  const bool entry_is_older = !MayBeSame(known->Incarnation(), worker) &&
-                              known->Incarnation().born_ms < worker.born_ms;
+  const bool entry_is_older =
+      !MayBeSameIncarnation(known->Incarnation(), worker) &&
+      known->Incarnation().start_unix_ms < worker.start_unix_ms;
   if (!entry_is_older) return known;
-  return this->MeetLife(known, worker, "progress", nullptr);
+  return this->BeginUndescribedIncarnation(known, worker, "progress", nullptr);
 }
 
-WorkerSession* IncarnationTracker::MeetLife(WorkerSession* known,
-                                            const WorkerIncarnation& met,
-                                            std::string_view seen_in,
-                                            const HoldResult* lists) {
+WorkerSession* IncarnationTracker::BeginUndescribedIncarnation(
+    WorkerSession* known, const WorkerIncarnation& met,
+    std::string_view seen_in, const HoldResult* lists) {
   WorkerInfo info = known->info;
   info.incarnation = met;
-  WorkerSession* next = this->BeginLife(known, info, seen_in, lists);
-  // It may be of another kind, and have other room.
+  WorkerSession* next = this->BeginIncarnation(known, info, seen_in, lists);
+  // The new incarnation may have other properties and another capacity.
   next->described = false;
   return next;
 }
 
-WorkerSession* IncarnationTracker::Enter(const WorkerInfo& info,
-                                         Instant inherited_until) {
+WorkerSession* IncarnationTracker::AddSession(const WorkerInfo& info,
+                                              Instant inherited_until) {
   WorkerSession* added = this->context->workers.Add(
       info, this->context->executor->Now(), inherited_until);
   added->token = this->context->token;
   return added;
 }
 
-WorkerSession* IncarnationTracker::BeginLife(WorkerSession* former,
-                                             const WorkerInfo& info,
-                                             std::string_view seen_in,
-                                             const HoldResult* lists) {
+WorkerSession* IncarnationTracker::BeginIncarnation(WorkerSession* former,
+                                                    const WorkerInfo& info,
+                                                    std::string_view seen_in,
+                                                    const HoldResult* lists) {
   this->context->log->Write("workers", "worker-restarted",
                             {{"worker", Text(info.incarnation)},
                              {"former", Text(former->Incarnation())},
                              {"seen_in", seen_in},
                              {"runs", former->runs.size()}});
-  // Started without a sign that another life had taken the start.
+  // Runs that the new incarnation lists were started by it, although no
+  // response showed that.
   std::vector<std::pair<RunRef, SessionRun>> moved;
   const std::set<RunRef> taken =
-      lists == nullptr ? std::set<RunRef>() : lists->Listed();
+      lists == nullptr ? std::set<RunRef>() : lists->ListedRuns();
   for (const RunRef& run : taken) {
     const SessionRun* record = former->FindRun(run);
     if (record == nullptr) continue;
     moved.emplace_back(run, *record);
     former->RemoveRun(run);
   }
-  this->context->runs->LoseAll(former, LossCause::kRestarted);
+  this->context->runs->HandleWorkerLoss(former, LossCause::kRestarted);
   const std::map<RunRef, SessionRun> left = former->runs;
   const bool listed = former->listed;
   this->context->health.Remove(info.incarnation.id);
   this->context->health.Add(info.incarnation.id);
-  WorkerSession* next =
-      this->Enter(info, this->context->executor->Now() + LongestLease());
+  WorkerSession* next = this->AddSession(
+      info, this->context->executor->Now() + MaxLeaseDuration());
   next->listed = listed;
-  // Orders for the former life may still arrive. Each start and each end that
-  // was told went after a write, so this is above what they carry.
+  // Orders for the former incarnation may still arrive. Every start order and
+  // every acknowledgement was preceded by a write, so this token is higher than
+  // theirs.
   next->token = this->context->writer->LatestRevision();
   for (const auto& [run, record] : moved) {
     this->context->runs->Move(next, run, record);
@@ -139,7 +145,7 @@
   for (const auto& [run, record] : left) {
     this->context->runs->BlockStart(next, run, record);
   }
-  this->context->dispatcher->Kick();
+  this->context->dispatcher->SchedulePass();
   return next;
 }
 
--- a/packages/jobs/src/job.cc
+++ b/packages/jobs/src/job.cc
@@ -15,10 +15,11 @@
   for (std::size_t i = 0; i < step.after.size(); ++i) {
     const std::int32_t earlier = step.after[i];
     if (earlier >= 0 && earlier < static_cast<std::int32_t>(index)) continue;
-    return SpecProblem{FieldOf(index, "after[" + std::to_string(i) + "]"),
-                       std::to_string(earlier) +
-                           " is no earlier step (allowed: 0 to " +
-                           std::to_string(index) + ", without the last)"};
+    return SpecProblem{
+        FieldOf(index, "after[" + std::to_string(i) + "]"),
+        std::to_string(earlier) +
+            " is not the index of an earlier step (allowed: 0 to " +
+            std::to_string(index) + ", exclusive)"};
   }
   return std::nullopt;
 }
@@ -32,11 +33,11 @@
   }
   const Resources& each = step.each;
   if (each.cpu_milli < 0 || each.memory_mb < 0 || each.accelerators < 0) {
-    return SpecProblem{FieldOf(index, "each"), "no amount may be negative"};
+    return SpecProblem{FieldOf(index, "each"), "amounts must not be negative"};
   }
   if (step.max_per_worker < 0 || step.max_unavailable < 0) {
     return SpecProblem{FieldOf(index, "max_per_worker"),
-                       "no bound may be negative"};
+                       "limits must not be negative"};
   }
   return CheckAfter(step, index);
 }
@@ -52,7 +53,7 @@
   }
   if (schedule.occurrences > 1 && schedule.interval_ms < 1) {
     return SpecProblem{"schedule.interval_ms",
-                       "a job that repeats needs an interval"};
+                       "a recurring job requires a positive interval"};
   }
   return std::nullopt;
 }
@@ -94,42 +95,42 @@
       return "stopped";
     case RunEnd::kLapsed:
       return "lapsed";
-    case RunEnd::kBroken:
+    case RunEnd::kGangMemberEnded:
       return "broken";
-    case RunEnd::kAlone:
+    case RunEnd::kGangIncomplete:
       return "alone";
   }
   return "unknown";
 }
 
-std::set<RunRef> HoldResult::Listed() const {
+std::set<RunRef> HoldResult::ListedRuns() const {
   std::set<RunRef> listed;
   for (const RunningRun& one : this->running) listed.insert(one.run);
   for (const EndedRun& one : this->ended) listed.insert(one.run);
   return listed;
 }
 
-std::string_view Name(OrderEnd end) {
+std::string_view Name(OrderOutcome end) {
   switch (end) {
-    case OrderEnd::kDone:
+    case OrderOutcome::kDone:
       return "done";
-    case OrderEnd::kFenced:
+    case OrderOutcome::kFenced:
       return "fenced";
-    case OrderEnd::kOldRun:
+    case OrderOutcome::kOldRun:
       return "old-run";
-    case OrderEnd::kLate:
+    case OrderOutcome::kLeaseExpired:
       return "late";
-    case OrderEnd::kNoRoom:
+    case OrderOutcome::kNoRoom:
       return "no-room";
-    case OrderEnd::kNoTicket:
+    case OrderOutcome::kNoTicket:
       return "no-ticket";
-    case OrderEnd::kInvalid:
+    case OrderOutcome::kInvalid:
       return "invalid";
-    case OrderEnd::kOtherLife:
+    case OrderOutcome::kOtherIncarnation:
       return "other-life";
-    case OrderEnd::kRefused:
+    case OrderOutcome::kRefused:
       return "refused";
-    case OrderEnd::kUncertain:
+    case OrderOutcome::kUncertain:
       return "uncertain";
   }
   return "unknown";
@@ -155,7 +156,7 @@
   }
   if (tasks > limits.max_tasks) {
     return SpecProblem{"steps", std::to_string(tasks) +
-                                    " tasks in all (allowed: " +
+                                    " tasks in total (allowed: " +
                                     std::to_string(limits.max_tasks) + ")"};
   }
   return CheckSchedule(spec.schedule, limits);
--- a/packages/jobs/src/job_gate.cc
+++ b/packages/jobs/src/job_gate.cc
@@ -4,27 +4,27 @@
 #include <utility>
 
 #include "mustardproxy/core/error.h"
-#include "mustardproxy/jobs/awaited.h"
+#include "mustardproxy/jobs/waitable_value.h"
 
 namespace mustardproxy::jobs {
 namespace {
 
-/// Beyond the time in which the service answers by itself.
-constexpr Duration kLastResort = std::chrono::milliseconds(100);
+/// Added to the caller's timeout, within which the service answers by itself.
+constexpr Duration kReplyMargin = std::chrono::milliseconds(100);
 
-/// Has `call` run on the control thread with a callback, and waits for that.
+/// Runs `call` on the control thread and waits for its callback.
 template <typename T>
 std::optional<T> Await(Executor* executor, Duration timeout,
                        std::function<void(std::function<void(T)>)> call) {
-  auto awaited = std::make_shared<Awaited<T>>();
+  auto awaited = std::make_shared<WaitableValue<T>>();
   executor->Post([call = std::move(call), awaited] {
     call([awaited](T value) { awaited->Set(std::move(value)); });
   });
-  return awaited->Wait(timeout + kLastResort);
+  return awaited->Wait(timeout + kReplyMargin);
 }
 
 SubmitResult Unanswered() {
-  return {.end = SubmitEnd::kUnknown,
+  return {.end = SubmitOutcome::kUnknown,
           .reason = Error::kDeadlineExceeded,
           .detail = {},
           .retry_after = Duration::zero()};
--- a/packages/jobs/src/job_lookup.cc
+++ b/packages/jobs/src/job_lookup.cc
@@ -24,12 +24,13 @@
                               const Result<StoreItem>& item) {
   const bool answered = item || item.error() == Error::kUnknownRequest;
   if (answered) return false;
-  if (this->executor->Now() + kStoreRetry >= search->deadline) {
+  if (this->executor->Now() + kStoreRetryDelay >= search->deadline) {
     search->done(make_error_code(Error::kPlatformUnavailable));
     return true;
   }
-  this->executor->After(
-      kStoreRetry, this->guard.Wrap([this, search] { this->ReadJob(search); }));
+  this->executor->After(kStoreRetryDelay, this->guard.Wrap([this, search] {
+    this->ReadJob(search);
+  }));
   return true;
 }
 
@@ -58,16 +59,16 @@
         } else if (item) {
           search->done(make_error_code(Error::kMalformedReply));
         } else {
-          // Not begun, or ended since its job was read.
+          // Not started, or ended since its job was read.
           this->ReadEnd(search, JobStatus{JobState::kQueued, {}});
         }
       }));
 }
 
 void JobLookup::ReadEnd(const SearchPtr& search,
-                        const Result<JobStatus>& otherwise) {
+                        const Result<JobStatus>& if_not_ended) {
   this->store->Read(keys::OfEnded(search->id),
-                    this->guard.Wrap([this, search, otherwise](
+                    this->guard.Wrap([this, search, if_not_ended](
                                          const Result<StoreItem>& item) {
                       if (this->HandleFailure(search, item)) return;
                       const auto status = item
@@ -77,10 +78,10 @@
                         search->done(*status);
                       } else if (item) {
                         search->done(make_error_code(Error::kMalformedReply));
-                      } else if (otherwise) {
-                        this->ReadCancel(search, otherwise.value());
+                      } else if (if_not_ended) {
+                        this->ReadCancel(search, if_not_ended.value());
                       } else {
-                        search->done(otherwise);
+                        search->done(if_not_ended);
                       }
                     }));
 }
--- a/packages/jobs/src/job_node.cc
+++ b/packages/jobs/src/job_node.cc
@@ -5,9 +5,9 @@
 #include <utility>
 #include <vector>
 
+#include "callback_guard.h"
 #include "cell_member.h"
 #include "group_owner.h"
-#include "guard.h"
 #include "intake.h"
 #include "job_lookup.h"
 #include "keys.h"
@@ -20,21 +20,21 @@
 namespace {
 
 SubmitResult CancelRefused() {
-  return {.end = SubmitEnd::kNotAccepted,
+  return {.end = SubmitOutcome::kNotAccepted,
           .reason = Error::kStoreUnavailable,
           .detail = {},
-          .retry_after = kStoreRetry};
+          .retry_after = kStoreRetryDelay};
 }
 
 SubmitResult NoSuchJob() {
-  return {.end = SubmitEnd::kNoSuchJob,
+  return {.end = SubmitOutcome::kNoSuchJob,
           .reason = Error::kUnknownJob,
           .detail = {},
           .retry_after = Duration::zero()};
 }
 
 SubmitResult CancelAccepted() {
-  return {.end = SubmitEnd::kAccepted,
+  return {.end = SubmitOutcome::kAccepted,
           .reason = {},
           .detail = {},
           .retry_after = Duration::zero()};
@@ -43,7 +43,7 @@
 }  // namespace
 
 struct JobNode::Internals {
-  explicit Internals(const Builder& given);
+  explicit Internals(const Builder& config);
 
   void OnDesired(const StoreEvent& event);
   void OnElected(FencingToken token);
@@ -51,19 +51,20 @@
   void OnCellChange();
   void StepDown(std::string_view reason);
   bool Authorized() const;
-  /// @return where processes are reached that may store something instead of
-  ///   this one: the owner first, the others in turn
+  /// @return addresses of processes that may write to the store instead of this
+  ///   one: the owner first, the others in rotation
   std::vector<std::string> Helpers();
-  /// Lets the owner know of a key at once; it would find it in the store too.
+  /// Informs the owner of a key immediately; it would also find the key in the
+  /// store.
   /// @param revision 0 for a job that is being stored
   void Announce(const CreateRequest& created, Revision revision);
-  /// Answers the cancellation of a job that has ended, or never was.
+  /// Answers a cancellation for a job that has ended or never existed.
   void CancelEnded(const JobId& id, std::function<void(SubmitResult)> done);
-  /// @return where the owner is reached; nothing if there is none, or if it is
+  /// @return the address of the owner; nothing if there is none or if it is
   ///   this process
   std::optional<std::string> OwnerAddress() const;
 
-  Builder given;
+  Builder config;
   CellMember member;
   PrefixMirror desired_mirror;
   Intake intake;
@@ -73,11 +74,11 @@
   std::size_t next_helper = 0;
   bool stepping_down = false;
   bool leaving = false;
-  Guard guard;
+  CallbackGuard guard;
 };
 
 JobNode::Internals::Internals(const Builder& parts)
-    : given(parts),
+    : config(parts),
       member(parts.executor, parts.store, parts.log,
              NodeRecord{parts.process, parts.data_center, parts.peer_address,
                         parts.incarnation, parts.cpu_milli, parts.memory_mb},
@@ -109,38 +110,40 @@
       lookup(parts.executor, parts.store) {}
 
 void JobNode::Internals::OnDesired(const StoreEvent& event) {
-  const bool wanted =
-      !event.deleted && event.item.key == this->given.schema->DesiredStateKey();
+  const bool wanted = !event.deleted &&
+                      event.item.key == this->config.schema->DesiredStateKey();
   if (!wanted) return;
   Result<DesiredState> parsed =
-      this->given.schema->ParseDesiredState(event.item.value);
+      this->config.schema->ParseDesiredState(event.item.value);
   if (!parsed) {
-    this->given.log->Write("desired", "not-understood",
-                           {{"revision", event.item.revision},
-                            {"reason", parsed.error().message()}});
+    this->config.log->Write("desired", "not-understood",
+                            {{"revision", event.item.revision},
+                             {"reason", parsed.error().message()}});
     return;
   }
-  // Never back: a listing may come after a newer event.
+  // The version never decreases: a listing may arrive after a newer event.
   const ConfigurationVersion version = parsed.value().version;
   if (this->desired && version <= this->desired->version) return;
   this->desired =
       std::make_shared<const DesiredState>(std::move(parsed.value()));
-  this->given.log->Write("desired", "in-force",
-                         {{"version", version},
-                          {"revision", event.item.revision},
-                          {"queues", this->desired->queues.size()}});
+  this->config.log->Write("desired", "in-force",
+                          {{"version", version},
+                           {"revision", event.item.revision},
+                           {"queues", this->desired->queues.size()}});
   if (this->owner) this->owner->SetDesired(this->desired);
 }
 
 bool JobNode::Internals::Authorized() const {
   if (this->stepping_down) return false;
-  return this->given.executor->Now() < this->member.RenewedAt() + kOwnerGrace;
+  return this->config.executor->Now() <
+         this->member.RenewedAt() + kOwnerOutageTolerance;
 }
 
 void JobNode::Internals::StepDown(std::string_view reason) {
   if (std::exchange(this->stepping_down, true)) return;
-  // Later, since parts of the owner that is to go are still at work.
-  this->given.executor->Post(this->guard.Wrap(
+  // Deferred, because functions of the owner to be destroyed are still on the
+  // stack.
+  this->config.executor->Post(this->guard.Wrap(
       [this, why = std::string(reason)] { this->member.Resign(why); }));
 }
 
@@ -148,16 +151,16 @@
   this->stepping_down = false;
   this->owner = std::make_unique<GroupOwner>(
       GroupOwner::Parts{
-          .executor = this->given.executor,
-          .store = this->given.store,
-          .driver = this->given.driver,
-          .adviser = this->given.adviser,
-          .peers = this->given.peers,
-          .schema = this->given.schema,
-          .log = this->given.log,
-          .metrics = this->given.metrics,
-          .store_writes_per_second = this->given.store_writes_per_second,
-          .max_lost_workers = this->given.max_lost_workers,
+          .executor = this->config.executor,
+          .store = this->config.store,
+          .driver = this->config.driver,
+          .adviser = this->config.adviser,
+          .peers = this->config.peers,
+          .schema = this->config.schema,
+          .log = this->config.log,
+          .metrics = this->config.metrics,
+          .store_writes_per_second = this->config.store_writes_per_second,
+          .max_lost_workers = this->config.max_lost_workers,
           .authorized = [this] { return this->Authorized(); },
           .step_down = [this](std::string_view why) { this->StepDown(why); }},
       token, this->desired);
@@ -166,18 +169,18 @@
 
 void JobNode::Internals::OnDeposed() {
   this->stepping_down = true;
-  // The caller may be a callback of the store, never one of the owner's parts.
+  // The caller may be a callback of the store, but never a part of the owner.
   this->owner.reset();
 }
 
 void JobNode::Internals::OnCellChange() {
   if (!this->owner) return;
-  std::vector<AdviceLane> lanes;
+  std::vector<AdviceClient> clients;
   for (const auto& [name, other] : this->member.Nodes()) {
-    const bool self = name == this->given.process;
-    lanes.push_back({name, self ? std::string() : other.node.peer_address});
+    const bool self = name == this->config.process;
+    clients.push_back({name, self ? std::string() : other.node.peer_address});
   }
-  this->owner->SetLanes(lanes);
+  this->owner->SetClients(clients);
 }
 
 std::vector<std::string> JobNode::Internals::Helpers() {
@@ -187,7 +190,7 @@
   std::vector<std::string> others;
   for (const auto& [name, other] : this->member.Nodes()) {
     const std::string& address = other.node.peer_address;
-    if (name == this->given.process || address == owner) continue;
+    if (name == this->config.process || address == owner) continue;
     others.push_back(address);
   }
   if (others.empty()) return helpers;
@@ -204,7 +207,7 @@
   if (!is_job && revision == 0) return;
   if (this->owner) {
     if (is_job) {
-      this->owner->OnAnnounced({created.job, created.value, revision});
+      this->owner->OnJobAnnounced({created.job, created.value, revision});
     } else {
       this->owner->OnCancel(created.job);
     }
@@ -213,16 +216,16 @@
   const auto address = this->OwnerAddress();
   if (!address) return;
   if (is_job) {
-    this->given.peers->AnnounceJob(*address,
-                                   {created.job, created.value, revision});
+    this->config.peers->AnnounceJob(*address,
+                                    {created.job, created.value, revision});
   } else {
-    this->given.peers->AnnounceCancel(*address, created.job);
+    this->config.peers->AnnounceCancel(*address, created.job);
   }
 }
 
 std::optional<std::string> JobNode::Internals::OwnerAddress() const {
   const auto& owner = this->member.Owner();
-  if (!owner || owner->owner.name == this->given.process) return std::nullopt;
+  if (!owner || owner->owner.name == this->config.process) return std::nullopt;
   return owner->owner.peer_address;
 }
 
@@ -230,7 +233,7 @@
                                      std::function<void(SubmitResult)> done) {
   auto read = [done = std::move(done)](const Result<StoreItem>& end) {
     if (end) {
-      // Nothing of it runs; there is nothing to be stored.
+      // Nothing of the job runs, so there is nothing to store.
       done(CancelAccepted());
     } else if (end.error() == Error::kUnknownRequest) {
       done(NoSuchJob());
@@ -238,7 +241,8 @@
       done(CancelRefused());
     }
   };
-  this->given.store->Read(keys::OfEnded(id), this->guard.Wrap(std::move(read)));
+  this->config.store->Read(keys::OfEnded(id),
+                           this->guard.Wrap(std::move(read)));
 }
 
 JobNode::JobNode(std::unique_ptr<Internals> state) : state(std::move(state)) {}
@@ -274,7 +278,7 @@
   job.id = id;
   job.queue = queue;
   job.spec = std::move(spec);
-  job.accepted_unix_ms = this->state->given.executor->UnixMs();
+  job.accepted_unix_ms = this->state->config.executor->UnixMs();
   this->state->intake.Create(
       {"job", id, keys::OfJob(id), EncodeJob(job), timeout}, std::move(done));
 }
@@ -292,8 +296,8 @@
       done(CancelRefused());
     }
   };
-  this->state->given.store->Read(keys::OfJob(id),
-                                 this->state->guard.Wrap(std::move(known)));
+  this->state->config.store->Read(keys::OfJob(id),
+                                  this->state->guard.Wrap(std::move(known)));
 }
 
 void JobNode::State(const JobId& id, Duration timeout,
@@ -317,13 +321,13 @@
     }
     this->state->lookup.Find(id, timeout, done);
   };
-  this->state->given.peers->QueryJob(*address, id,
-                                     this->state->guard.Wrap(std::move(asked)));
+  this->state->config.peers->QueryJob(
+      *address, id, this->state->guard.Wrap(std::move(asked)));
 }
 
 void JobNode::Pending(const QueueName& queue, Duration /*timeout*/,
                       std::function<void(Result<std::int64_t>)> done) {
-  if (this->Owns() && this->state->owner->Fresh()) {
+  if (this->Owns() && this->state->owner->HasFreshJobView()) {
     done(this->state->owner->PendingIn(queue));
     return;
   }
@@ -332,11 +336,11 @@
     done(make_error_code(Error::kPlatformUnavailable));
     return;
   }
-  this->state->given.peers->QueryPending(*address, queue, std::move(done));
+  this->state->config.peers->QueryPending(*address, queue, std::move(done));
 }
 
 void JobNode::OnJob(AnnouncedJob job) {
-  if (this->state->owner) this->state->owner->OnAnnounced(job);
+  if (this->state->owner) this->state->owner->OnJobAnnounced(job);
 }
 
 void JobNode::OnCancel(const JobId& job) {
@@ -354,7 +358,7 @@
 
 void JobNode::OnQueryPending(const QueueName& queue,
                              JobPeerHandler::Done<std::int64_t> done) {
-  if (!this->Owns() || !this->state->owner->Fresh()) {
+  if (!this->Owns() || !this->state->owner->HasFreshJobView()) {
     done(make_error_code(Error::kNotOwner));
     return;
   }
@@ -362,19 +366,19 @@
 }
 
 void JobNode::OnCreate(CreateRequest request,
-                       JobPeerHandler::Done<CreateEnd> done) {
+                       JobPeerHandler::Done<CreateOutcome> done) {
   this->state->intake.CreateForPeer(
       std::move(request), [done = std::move(done)](const SubmitResult& result) {
-        const bool refused = result.end == SubmitEnd::kNotAccepted;
-        done(result.end == SubmitEnd::kAccepted ? CreateEnd::kExists
-             : refused                          ? CreateEnd::kNotDone
-                                                : CreateEnd::kUncertain);
+        const bool refused = result.end == SubmitOutcome::kNotAccepted;
+        done(result.end == SubmitOutcome::kAccepted ? CreateOutcome::kExists
+             : refused                              ? CreateOutcome::kNotDone
+                       : CreateOutcome::kUncertain);
       });
 }
 
 void JobNode::OnAsk(AdviceQuestion question,
                     JobPeerHandler::Done<Advice> done) {
-  this->state->given.adviser->Ask(std::move(question), std::move(done));
+  this->state->config.adviser->Ask(std::move(question), std::move(done));
 }
 
 JobNode::Builder& JobNode::Builder::Self(ProcessId name, DataCenterId center,
--- a/packages/jobs/src/job_table.cc
+++ b/packages/jobs/src/job_table.cc
@@ -19,8 +19,9 @@
   --step->open;
 }
 
-/// @return longest declared time from the start of `step` to the job's end
-Duration ChainFrom(const JobSpec& spec, std::size_t step) {
+/// @return the longest estimated time from the start of `step` to the end of
+///   the job
+Duration CriticalPathFrom(const JobSpec& spec, std::size_t step) {
   std::vector<Duration> longest(spec.steps.size(), Duration::zero());
   Duration most{0};
   for (std::size_t i = step; i < spec.steps.size(); ++i) {
@@ -39,11 +40,12 @@
   return most;
 }
 
-void MeasureChains(JobEntry* entry) {
+void ComputeCriticalPaths(JobEntry* entry) {
   const JobSpec& spec = entry->job.spec;
   for (std::size_t i = 0; i < spec.steps.size(); ++i) {
-    entry->chains.push_back(ChainFrom(spec, i));
-    entry->whole_chain = std::max(entry->whole_chain, entry->chains.back());
+    entry->remaining_path.push_back(CriticalPathFrom(spec, i));
+    entry->critical_path =
+        std::max(entry->critical_path, entry->remaining_path.back());
   }
 }
 
@@ -61,11 +63,11 @@
   if (slot) return slot.get();
   slot = std::make_unique<JobEntry>();
   slot->job = std::move(job);
-  slot->learnt = now;
-  MeasureChains(slot.get());
+  slot->learned_at = now;
+  ComputeCriticalPaths(slot.get());
   this->active.push_back(slot.get());
   if (slot->job.spec.schedule.occurrences == 0) {
-    Open(slot.get(), 0);
+    OpenOccurrence(slot.get(), 0);
     slot->next_to_open = 1;
   }
   return slot.get();
@@ -88,7 +90,8 @@
   this->jobs.erase(id);
 }
 
-OccurrenceEntry* JobTable::Open(JobEntry* entry, std::int32_t number) {
+OccurrenceEntry* JobTable::OpenOccurrence(JobEntry* entry,
+                                          std::int32_t number) {
   OccurrenceEntry& occurrence = entry->occurrences[number];
   if (!occurrence.steps.empty()) return &occurrence;
   for (const Step& step : entry->job.spec.steps) {
@@ -104,11 +107,11 @@
   return schedule.first_unix_ms + entry.next_to_open * schedule.interval_ms;
 }
 
-bool JobTable::OpenDue(JobEntry* entry, std::int64_t unix_ms) {
+bool JobTable::OpenDueOccurrences(JobEntry* entry, std::int64_t unix_ms) {
   bool opened = false;
   for (auto due = NextDueMs(*entry); due && *due <= unix_ms;
        due = NextDueMs(*entry)) {
-    Open(entry, entry->next_to_open);
+    OpenOccurrence(entry, entry->next_to_open);
     ++entry->next_to_open;
     opened = true;
   }
@@ -130,7 +133,7 @@
                                               Instant now) {
   std::vector<std::int32_t> indices;
   const Step& spec = entry.job.spec.steps[static_cast<std::size_t>(number)];
-  // A new run of a gang must not meet members of the old one.
+  // A new run of a gang must not overlap with members of the previous one.
   if (spec.gang && step.open > 0) return indices;
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
     const TaskEntry& task = step.tasks[i];
@@ -179,8 +182,8 @@
   JobEntry* entry = this->Find(run.task.step.job);
   TaskEntry* task = this->FindOpen(run);
   if (entry == nullptr) return {};
-  // An end that comes after the run was given up on still tells the truth if it
-  // is good and no newer run has begun.
+  // A success that is reported after the run was considered lost still counts,
+  // unless a newer run has begun.
   if (task == nullptr) {
     TaskEntry* known = this->FindTask(run.task);
     const bool late = known != nullptr && !known->done && !known->open &&
@@ -192,7 +195,7 @@
   }
   StepEntry* step = this->FindStepEntry(run.task.step);
   const Step* spec = this->FindStep(run.task.step);
-  if (end == RunEnd::kFailed) task->failed_at = task->worker.id;
+  if (end == RunEnd::kFailed) task->last_failed_worker = task->worker.id;
   CloseRun(step, task);
   if (!checkpoint.empty()) this->NoteCheckpoint(run, checkpoint);
   EndEffect effect;
@@ -206,8 +209,8 @@
   }
   effect.matched = true;
   if (end != RunEnd::kDone) {
-    effect.gang_over = spec->gang;
-    task->not_before = now + kRetryPause;
+    effect.gang_ended = spec->gang;
+    task->not_before = now + kTaskRetryDelay;
   }
   return effect;
 }
@@ -216,9 +219,9 @@
   JobEntry* entry = this->Find(run.task.step.job);
   if (entry == nullptr || this->FindOpen(run) == nullptr) return;
   CrashHistory& history = entry->crashes[run.task];
-  const bool sound = this->FindStep(run.task.step)->long_running &&
-                     loss.survived >= kSoundAfter;
-  if (sound) history = {};
+  const bool stable = this->FindStep(run.task.step)->long_running &&
+                      loss.survived >= kStableRunTime;
+  if (stable) history = {};
   history.Note(loss);
 }
 
@@ -242,7 +245,8 @@
   std::size_t discounted = 0;
   if (outage.workers.empty()) return discounted;
   for (JobEntry* entry : this->active) {
-    if (entry->crashes.empty() || !outage.Exceeds(entry->job.id)) continue;
+    if (entry->crashes.empty() || !outage.RulesOutAsCause(entry->job.id))
+      continue;
     for (auto& [task, history] : entry->crashes) {
       if (history.Discount(outage.workers)) ++discounted;
     }
@@ -267,7 +271,7 @@
   const Step* spec = this->FindStep(run.task.step);
   const std::int32_t before = step->done;
   if (spec->gang) {
-    // The members end well together, so one such end stands for all.
+    // Gang members complete together, so the success of one stands for all.
     for (TaskEntry& member : step->tasks) MarkDone(step, &member);
   } else {
     MarkDone(step, this->FindTask(run.task));
@@ -306,7 +310,8 @@
     std::erase_if(entry->crashes, [&](const auto& one) {
       return one.first.step.occurrence == first->first;
     });
-    // Members of a gang whose end was told by another are still awaited.
+    // Gang members completed by the end of another member still have to report
+    // their own end.
     entry->occurrences.erase(first);
     ++entry->first_open;
   }
@@ -330,7 +335,8 @@
     task.checkpoint = checkpoint;
     return;
   }
-  // One member's value is good for all, and all must start with the same.
+  // The checkpoint of one member applies to the whole gang, and all members
+  // must start with the same one.
   for (TaskEntry& member : step->tasks) member.checkpoint = checkpoint;
 }
 
@@ -346,10 +352,10 @@
   return true;
 }
 
-void JobTable::Park(JobEntry* entry) { std::erase(this->active, entry); }
+void JobTable::Deactivate(JobEntry* entry) { std::erase(this->active, entry); }
 
-void JobTable::Resume(JobEntry* entry) {
-  this->Park(entry);
+void JobTable::Reactivate(JobEntry* entry) {
+  this->Deactivate(entry);
   if (!IsFinal(entry->state)) this->active.push_back(entry);
 }
 
--- a/packages/jobs/src/progress_writer.cc
+++ b/packages/jobs/src/progress_writer.cc
@@ -11,11 +11,11 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Entries of the longest row: a condition and a put, and for a final job two
-/// removals.
-constexpr std::size_t kLongestRow = 4;
-/// Transactions under way at once: with the pause between two, enough to keep a
-/// slow store busy.
+/// Maximum number of transaction entries of one row: a condition and a put, and
+/// two removals for a final job.
+constexpr std::size_t kMaxEntriesPerRow = 4;
+/// Maximum number of transactions in flight. With the interval between writes,
+/// enough to keep a slow store busy.
 constexpr std::size_t kMaxInFlight = 10;
 
 StoreCondition OwnerCondition(FencingToken token) {
@@ -41,14 +41,15 @@
   if (entry.progress_revision != 0) transaction->removals.push_back(key);
 }
 
-/// @return time between two writes, so that they keep to their share
+/// @return the interval between writes that keeps this writer within its share
+///   of the store's rate
 Duration IntervalFor(std::int64_t store_writes_per_second) {
   const double rate =
       kProgressShareOfWrites * static_cast<double>(store_writes_per_second);
   const double micros =
       static_cast<double>(Duration(seconds(1)).count()) / std::max(rate, 1.0);
   return std::clamp(Duration(static_cast<std::int64_t>(micros)),
-                    kShortestProgressInterval, kLongestProgressInterval);
+                    kMinProgressInterval, kMaxProgressInterval);
 }
 
 }  // namespace
@@ -71,8 +72,8 @@
   this->Flush();
 }
 
-bool ProgressWriter::Pending(const JobId& job) const {
-  return this->rows.contains(job) || this->busy.contains(job);
+bool ProgressWriter::HasPendingWrite(const JobId& job) const {
+  return this->rows.contains(job) || this->jobs_in_flight.contains(job);
 }
 
 void ProgressWriter::FlushAt(Instant moment) {
@@ -92,7 +93,7 @@
     return;
   }
   Batch batch;
-  Transaction transaction = this->TakeRows(&batch);
+  Transaction transaction = this->BuildTransaction(&batch);
   if (batch.empty()) return;
   this->next_write = now + this->interval;
   ++this->in_flight;
@@ -101,22 +102,23 @@
                                            const CommitResult& result) mutable {
                         --this->in_flight;
                         for (const SentRow& row : batch)
-                          this->busy.erase(row.job);
+                          this->jobs_in_flight.erase(row.job);
                         this->OnWritten(std::move(batch), result);
                       }));
   if (!this->order.empty()) this->FlushAt(this->next_write);
 }
 
-Transaction ProgressWriter::TakeRows(Batch* batch) {
+Transaction ProgressWriter::BuildTransaction(Batch* batch) {
   Transaction transaction;
   transaction.conditions.push_back(OwnerCondition(this->token));
   std::deque<JobId> later;
   while (!this->order.empty() &&
-         CountEntries(transaction) + kLongestRow <= kMaxTransactionEntries) {
+         CountEntries(transaction) + kMaxEntriesPerRow <=
+             kMaxTransactionEntries) {
     const JobId id = this->order.front();
     this->order.pop_front();
-    if (this->busy.contains(id)) {
-      // Its revision is known only once the row on its way is answered.
+    if (this->jobs_in_flight.contains(id)) {
+      // The revision is known only after the row in flight is acknowledged.
       later.push_back(id);
       continue;
     }
@@ -124,12 +126,12 @@
     this->rows.erase(id);
     const JobEntry* entry = this->jobs->Find(id);
     if (entry == nullptr) {
-      // Forgotten meanwhile: there is nothing left to store.
+      // The job was removed in the meantime; there is nothing to store.
       for (auto& durable : waiters) this->executor->Post(std::move(durable));
       continue;
     }
     AddRow(*entry, &transaction);
-    this->busy.insert(id);
+    this->jobs_in_flight.insert(id);
     batch->push_back({id, std::move(waiters), IsFinal(entry->state)});
   }
   this->order.insert(this->order.begin(), later.begin(), later.end());
@@ -137,20 +139,20 @@
 }
 
 void ProgressWriter::OnWritten(Batch batch, const CommitResult& result) {
-  const bool answered =
-      result.end == CommitEnd::kCommitted || result.end == CommitEnd::kConflict;
+  const bool answered = result.end == CommitOutcome::kCommitted ||
+                        result.end == CommitOutcome::kConflict;
   if (answered != this->store_answers) {
     this->store_answers = answered;
     this->log->Write("store", answered ? "writes-regained" : "writes-lost",
                      {{"waiting", this->Backlog()}});
   }
-  if (result.end == CommitEnd::kConflict) {
+  if (result.end == CommitOutcome::kConflict) {
     this->OnConflict(std::move(batch), result);
     return;
   }
-  if (result.end != CommitEnd::kCommitted) {
+  if (result.end != CommitOutcome::kCommitted) {
     this->Requeue(std::move(batch));
-    this->next_write = this->executor->Now() + kStoreRetry;
+    this->next_write = this->executor->Now() + kStoreRetryDelay;
     this->Flush();
     return;
   }
@@ -179,8 +181,9 @@
     this->on_fenced();
     return;
   }
-  // A row has another revision than we know: a write of ours whose answer was
-  // lost has been done. Nobody else writes rows under our token.
+  // A row has an unexpected revision: an earlier write of this owner was
+  // applied, but its response was lost. Nobody else writes rows under this
+  // token.
   for (const SentRow& row : batch) {
     JobEntry* entry = this->jobs->Find(row.job);
     if (entry == nullptr) continue;
--- a/packages/jobs/src/record_codec.cc
+++ b/packages/jobs/src/record_codec.cc
@@ -115,14 +115,14 @@
   stored->set_counted_run(task.counted_run);
   if (task.open) {
     stored->set_worker(task.worker.id.Text());
-    stored->set_worker_born_ms(task.worker.born_ms);
+    stored->set_worker_born_ms(task.worker.start_unix_ms);
   }
   stored->set_checkpoint(task.checkpoint);
   if (crashes == nullptr) return;
   for (const WorkerLoss& loss : crashes->Losses()) {
     stored::WorkerLoss* one = stored->add_losses();
     one->set_worker(loss.worker.id.Text());
-    one->set_worker_born_ms(loss.worker.born_ms);
+    one->set_worker_born_ms(loss.worker.start_unix_ms);
     one->set_certain(loss.certain);
     one->set_survived_us(loss.survived.count());
     one->set_alone(loss.alone);
@@ -182,7 +182,7 @@
   }
 }
 
-/// @return true if a run of the job has ended, or saved something
+/// @return true if a run of the job has ended or saved a checkpoint
 bool HasResults(const JobEntry& entry) {
   if (entry.first_open > 0) return true;
   const auto any = [](const StepEntry& step) {
@@ -276,7 +276,7 @@
   entry->first_open = stored->first_open_occurrence();
   entry->next_to_open = std::max(entry->next_to_open, entry->first_open);
   for (const stored::OccurrenceProgress& one : stored->occurrences()) {
-    OccurrenceEntry* occurrence = JobTable::Open(entry, one.number());
+    OccurrenceEntry* occurrence = JobTable::OpenOccurrence(entry, one.number());
     entry->next_to_open = std::max(entry->next_to_open, one.number() + 1);
     const auto steps = std::min(occurrence->steps.size(),
                                 static_cast<std::size_t>(one.steps_size()));
@@ -286,8 +286,8 @@
       Apply(one.steps(static_cast<int>(i)), ref, entry, &occurrence->steps[i]);
     }
   }
-  // Progress is written before the first start leaves, so the state alone does
-  // not tell that anything has started.
+  // Progress is stored before the first start order is sent, so the state alone
+  // does not show whether anything has started.
   entry->begun = stored->begun() || HasResults(*entry);
   jobs->SetState(entry, static_cast<JobState>(stored->state()));
   entry->failure = stored->cause();
--- a/packages/jobs/src/run_control.cc
+++ b/packages/jobs/src/run_control.cc
@@ -16,21 +16,21 @@
 namespace mustardproxy::jobs {
 namespace {
 
-/// Bounds the pause after starts that were turned down.
-constexpr std::int32_t kMostDoublings = 5;
-/// The least time from a worker's crash to its next life: what was sent later
-/// never reached the life that crashed.
-constexpr Duration kLeastRestart = milliseconds(500);
+/// Limits the exponential backoff after rejected start orders.
+constexpr std::int32_t kMaxBackoffDoublings = 5;
+/// Minimum time between a crash of a worker and its next incarnation. Orders
+/// sent after the crash never reached the incarnation that crashed.
+constexpr Duration kMinRestartTime = milliseconds(500);
 
-/// A worker that has answered so shortly before was there: longer than a hold
-/// waits.
-constexpr Duration kRecentAnswer = milliseconds(2000);
+/// A worker that responded within this time counts as reachable; longer than a
+/// hold waits.
+constexpr Duration kRecentAnswerWindow = milliseconds(2000);
 
-/// @return true if the answer proves that this order started nothing
-bool ProvesNotStarted(OrderEnd end) {
-  return end == OrderEnd::kLate || end == OrderEnd::kNoRoom ||
-         end == OrderEnd::kNoTicket || end == OrderEnd::kInvalid ||
-         end == OrderEnd::kRefused;
+/// @return true if the response proves that this order started nothing
+bool ProvesNotStarted(OrderOutcome end) {
+  return end == OrderOutcome::kLeaseExpired || end == OrderOutcome::kNoRoom ||
+         end == OrderOutcome::kNoTicket || end == OrderOutcome::kInvalid ||
+         end == OrderOutcome::kRefused;
 }
 
 std::string_view Name(RunPhase phase) {
@@ -47,7 +47,7 @@
 
 std::string_view Name(LossCause cause) {
   switch (cause) {
-    case LossCause::kOtherLife:
+    case LossCause::kOtherIncarnation:
       return "other-life";
     case LossCause::kLeaseLapsed:
       return "lease-lapsed";
@@ -67,20 +67,22 @@
   const StepRef& ref = runs.front().task.step;
   const Step& step = *this->context->jobs.FindStep(ref);
   SessionRun record;
-  record.takes = Takes(step);
+  record.resources = TaskDemand(step);
   record.started_at = now;
-  record.moved_at = now;
-  record.expected_end = now + this->context->run_times.Expect(
+  record.last_progress_at = now;
+  record.expected_end = now + this->context->run_times.PredictRunTime(
                                   entry.job.queue.name, step.estimate);
   const bool reserves = step.gang && this->context->QueueOf(entry).advice;
   for (std::size_t i = 0; i < runs.size(); ++i) {
     WorkerSession* session = this->context->workers.Find(workers[i]);
     session->AddRun(runs[i], record);
-    // Reserved room may be taken for seconds before its starts are sent.
+    // Resources of a reservation may be held for seconds before the start
+    // orders are sent.
     if (reserves) continue;
     this->QuarantineIfSuspicious(session, runs[i]);
-    // An idle worker is not asked otherwise, and may be gone already.
-    if (session->Quarantined()) this->context->holds->Pump(session);
+    // An idle worker receives no holds otherwise and may have stopped
+    // unnoticed.
+    if (session->Quarantined()) this->context->holds->SendIfDue(session);
   }
   this->context->log->Write(
       "jobs", "step-placed",
@@ -90,10 +92,10 @@
        {"run", runs.front().run},
        {"worker", Text(workers.front())},
        {"version", this->context->desired->version},
-       {"waited_ms", WholeMilliseconds(now - entry.learnt)}});
-  // Failure: the owner dies right after a start, and its successor starts the
-  // task elsewhere. The run and its worker are stored first, so the successor
-  // knows where to look before it starts the task again.
+       {"waited_ms", WholeMilliseconds(now - entry.learned_at)}});
+  // Failure: the owner crashes right after a start order, and its successor
+  // starts the task elsewhere. The run and its worker are stored first, so that
+  // the successor asks that worker before it starts the task again.
   std::vector<WorkerIncarnation> places(workers.begin(), workers.end());
   std::function<void()> send;
   if (reserves) {
@@ -119,14 +121,14 @@
                                         const RunRef& run) {
   const CrashHistory* crashes = this->context->jobs.FindCrashes(run.task);
   if (crashes == nullptr || !crashes->Suspicious()) return;
-  session->Quarantine(run, crashes->ProvingTime());
+  session->Quarantine(run, crashes->ProbationPeriod());
   this->context->log->Write(
       "jobs", "quarantined",
       {{"task", Text(run.task)},
        {"run", run.run},
        {"worker", Text(session->Incarnation())},
        {"lost_workers", crashes->Losses().size()},
-       {"proving_ms", WholeMilliseconds(crashes->ProvingTime())}});
+       {"proving_ms", WholeMilliseconds(crashes->ProbationPeriod())}});
 }
 
 void RunControl::StartOnceStored(const JobId& job,
@@ -145,21 +147,21 @@
   const Step* step = this->context->jobs.FindStep(run.task.step);
   WorkerSession* session =
       this->context->incarnations->NoteStored(worker, inherited_until);
-  if (!MayBeSame(session->Incarnation(), worker)) {
+  if (!MayBeSameIncarnation(session->Incarnation(), worker)) {
     this->context->jobs.NoteLoss(run, {.worker = worker, .certain = true});
     SessionRun former;
-    former.takes = Takes(*step);
+    former.resources = TaskDemand(*step);
     former.start_sent = this->context->executor->Now();
     this->BlockStart(session, run, former);
     return;
   }
   const Instant now = this->context->executor->Now();
   SessionRun record;
-  record.takes = Takes(*step);
+  record.resources = TaskDemand(*step);
   record.phase = RunPhase::kStarted;
-  record.listed_from = now;
+  record.expected_listed_from = now;
   record.started_at = now;
-  record.moved_at = now;
+  record.last_progress_at = now;
   record.expected_end = now + step->estimate;
   session->AddRun(run, record);
   this->QuarantineIfSuspicious(session, run);
@@ -190,11 +192,12 @@
   if (record->phase == RunPhase::kStarted) return;
   if (!this->context->MayAct()) return;
   const bool first = record->phase == RunPhase::kPlanned;
-  // Failure: the store is away while a run is written down, the worker shrinks
-  // or drains meanwhile, and the start leaves before that is known.
+  // Failure: the store is unavailable while a run is being stored, the worker
+  // shrinks or drains meanwhile, and the start order is sent before the owner
+  // knows of that.
   if (first && !this->context->worker_view_fresh()) {
-    this->Later(kOrderRetry,
-                [this, worker, run] { this->SendStart(worker, run); });
+    this->RunAfter(kOrderRetryDelay,
+                   [this, worker, run] { this->SendStart(worker, run); });
     return;
   }
   StartOrder order;
@@ -204,7 +207,7 @@
   const bool fits = !overcommitted && !(first && draining);
   if (!this->FillOrder(*session, run, &order) || !fits) {
     if (first) {
-      this->NotStarted(session, run);
+      this->WithdrawUnstarted(session, run);
     } else {
       this->Stop(session, run);
       this->StopGang(run);
@@ -212,8 +215,8 @@
     return;
   }
   const Instant now = this->context->executor->Now();
-  // A silent worker's lease is not put off, see HoldLoop.
-  order.lease_until_ms = session->suspect
+  // The lease of a worker that does not respond is not extended, see HoldLoop.
+  order.lease_until_ms = session->unresponsive
                              ? session->LeaseSentMs()
                              : session->LeaseUntilMs(now, kWorkerLease);
   session->NoteLeaseSent(order.lease_until_ms);
@@ -224,7 +227,7 @@
   }
   record->start_sent = now;
   record->order_in_flight = true;
-  record->listed_from.reset();
+  record->expected_listed_from.reset();
   this->context->driver->Start(session->Target(), std::move(order),
                                this->guard.Wrap([this, worker, run, first, now](
                                                     const OrderResult& result) {
@@ -238,15 +241,15 @@
   WorkerSession* session =
       this->context->incarnations->NoteAnswer(worker, asked, result, lists);
   if (session == nullptr) return nullptr;
-  if (result.end == OrderEnd::kOtherLife) {
-    this->LoseAll(session, LossCause::kOtherLife);
+  if (result.end == OrderOutcome::kOtherIncarnation) {
+    this->HandleWorkerLoss(session, LossCause::kOtherIncarnation);
     return nullptr;
   }
   session->NoteClock({.clock_ms = result.clock_ms,
-                      .asked = asked,
-                      .answered = this->context->executor->Now()});
-  if (result.end == OrderEnd::kFenced) {
-    this->context->step_down("a worker obeys a newer owner");
+                      .sent_at = asked,
+                      .received_at = this->context->executor->Now()});
+  if (result.end == OrderOutcome::kFenced) {
+    this->context->step_down("a worker accepted the token of a newer owner");
     return nullptr;
   }
   return session;
@@ -259,11 +262,12 @@
   SessionRun* record = session->FindRun(run);
   if (record == nullptr) return;
   record->order_in_flight = false;
-  if (result.end == OrderEnd::kUncertain) record->start_unanswered = true;
-  const bool broke = result.end == OrderEnd::kUncertain &&
-                     this->context->executor->Now() - asked < kQuickBreak;
-  if (broke || result.end == OrderEnd::kDone) record->reached = true;
-  if (result.end != OrderEnd::kDone) {
+  if (result.end == OrderOutcome::kUncertain) record->start_unanswered = true;
+  const bool broke =
+      result.end == OrderOutcome::kUncertain &&
+      this->context->executor->Now() - asked < kConnectionClosedThreshold;
+  if (broke || result.end == OrderOutcome::kDone) record->start_received = true;
+  if (result.end != OrderOutcome::kDone) {
     this->context->log->Write("jobs", "start-not-done",
                               {{"task", Text(run.task)},
                                {"run", run.run},
@@ -271,68 +275,72 @@
                                {"end", Name(result.end)},
                                {"first_try", first ? 1 : 0}});
   }
-  if (result.end == OrderEnd::kNoTicket) {
+  if (result.end == OrderOutcome::kNoTicket) {
     this->context->advice->DropTicket(run.task.step, session->Number());
   }
-  if (result.end == OrderEnd::kRefused || result.end == OrderEnd::kUncertain) {
+  if (result.end == OrderOutcome::kRefused ||
+      result.end == OrderOutcome::kUncertain) {
     session->MarkSilent(this->context->executor->Now(), broke);
-    this->context->holds->Pump(session);
+    this->context->holds->SendIfDue(session);
   }
-  if (result.end == OrderEnd::kDone || result.end == OrderEnd::kOldRun) {
-    // "Old" after a lost answer: the run is, or was, there. The lists tell.
+  if (result.end == OrderOutcome::kDone ||
+      result.end == OrderOutcome::kOldRun) {
+    // `kOldRun` after a lost response means that the run is or was on the
+    // worker; the next hold shows which.
     record->phase = RunPhase::kStarted;
-    record->listed_from = this->context->executor->Now();
+    record->expected_listed_from = this->context->executor->Now();
     this->context->jobs.NoteBegun(run.task.step.job);
     TaskEntry* task = this->context->jobs.FindOpen(run);
-    if (task != nullptr) task->refusals = 0;
-    this->context->holds->Pump(session);
+    if (task != nullptr) task->rejected_starts = 0;
+    this->context->holds->SendIfDue(session);
   } else if (first && ProvesNotStarted(result.end)) {
     this->OnRefused(session, run, result.end);
   } else if (ProvesNotStarted(result.end)) {
-    // Failure: an earlier copy of this start got no answer and may still be
-    // carried out. Stopped by name, it is refused then.
+    // Failure: an earlier copy of this start order got no response and may
+    // still be carried out. After the stop order the worker rejects it.
     this->Stop(session, run);
     this->StopGang(run);
   } else if (!record->stopping) {
-    this->Later(kOrderRetry,
-                [this, worker, run] { this->SendStart(worker, run); });
+    this->RunAfter(kOrderRetryDelay,
+                   [this, worker, run] { this->SendStart(worker, run); });
   }
 }
 
 void RunControl::OnRefused(WorkerSession* session, const RunRef& run,
-                           OrderEnd why) {
+                           OrderOutcome why) {
   TaskEntry* task = this->context->jobs.FindOpen(run);
-  this->NotStarted(session, run);
+  this->WithdrawUnstarted(session, run);
   const Instant now = this->context->executor->Now();
   if (task != nullptr) {
-    // Failure: every worker turns the start down, and it is sent again as fast
-    // as they answer.
-    const std::int32_t doublings = std::min(task->refusals++, kMostDoublings);
-    task->not_before = now + kRetryPause * (1 << doublings);
+    // Failure: every worker rejects the start order, and it is repeated as fast
+    // as they respond.
+    const std::int32_t doublings =
+        std::min(task->rejected_starts++, kMaxBackoffDoublings);
+    task->not_before = now + kTaskRetryDelay * (1 << doublings);
   }
-  if (why == OrderEnd::kRefused) {
+  if (why == OrderOutcome::kRefused) {
     this->context->health.OnFailure(now, session->Incarnation().id,
                                     session->info.service,
                                     RequestId(run.task.step.job.Text()));
   }
 }
 
-void RunControl::NotStarted(WorkerSession* session, const RunRef& run) {
+void RunControl::WithdrawUnstarted(WorkerSession* session, const RunRef& run) {
   session->RemoveRun(run);
   TaskEntry* task = this->context->jobs.FindOpen(run);
   if (task != nullptr) {
-    task->not_before = this->context->executor->Now() + kRetryPause;
+    task->not_before = this->context->executor->Now() + kTaskRetryDelay;
   }
   this->context->jobs.Withdraw(run);
   this->StopGang(run);
-  this->context->dispatcher->Kick();
+  this->context->dispatcher->SchedulePass();
 }
 
 void RunControl::StopGang(const RunRef& member) {
   const Step* step = this->context->jobs.FindStep(member.task.step);
   if (step == nullptr || !step->gang) return;
-  // Failure: one member of a gang can't start or has ended, and the others hold
-  // room until the worker gives up waiting for it.
+  // Failure: one member of a gang cannot start or has ended, and the others
+  // occupy resources until their workers stop waiting for it.
   for (std::int32_t i = 0; i < step->tasks; ++i) {
     const RunRef other{{member.task.step, i}, member.run};
     const TaskEntry* task = this->context->jobs.FindOpen(other);
@@ -348,7 +356,7 @@
   if (record->phase == RunPhase::kPlanned) {
     session->RemoveRun(run);
     this->context->jobs.Withdraw(run);
-    this->context->dispatcher->Kick();
+    this->context->dispatcher->SchedulePass();
     return;
   }
   this->SendStop(session->Incarnation(), run);
@@ -362,7 +370,7 @@
   for (const RunRef& run : planned) {
     if (!session->Overcommitted()) return;
     if (session->FindRun(run) == nullptr) continue;
-    this->NotStarted(session, run);
+    this->WithdrawUnstarted(session, run);
   }
 }
 
@@ -382,7 +390,7 @@
 void RunControl::SendStop(const WorkerIncarnation& worker, const RunRef& run) {
   WorkerSession* session = this->context->workers.Find(worker);
   SessionRun* record = session == nullptr ? nullptr : session->FindRun(run);
-  if (record == nullptr || record->stop_noted) return;
+  if (record == nullptr || record->stop_acknowledged) return;
   if (!this->context->MayAct()) return;
   const Instant now = this->context->executor->Now();
   this->context->driver->Stop(
@@ -398,33 +406,34 @@
   if (session == nullptr) return;
   SessionRun* record = session->FindRun(run);
   if (record == nullptr) return;
-  if (result.end == OrderEnd::kDone || result.end == OrderEnd::kOldRun) {
-    record->stop_noted = true;
-    record->listed_from = this->context->executor->Now();
-    this->context->holds->Pump(session);
+  if (result.end == OrderOutcome::kDone ||
+      result.end == OrderOutcome::kOldRun) {
+    record->stop_acknowledged = true;
+    record->expected_listed_from = this->context->executor->Now();
+    this->context->holds->SendIfDue(session);
     return;
   }
   session->MarkSilent(this->context->executor->Now(), false);
-  this->context->holds->Pump(session);
-  this->Later(kOrderRetry,
-              [this, worker, run] { this->SendStop(worker, run); });
+  this->context->holds->SendIfDue(session);
+  this->RunAfter(kOrderRetryDelay,
+                 [this, worker, run] { this->SendStop(worker, run); });
 }
 
 bool RunControl::End(WorkerSession* session, const RunRef& run, RunEnd end,
                      std::string_view checkpoint,
                      std::function<void()> durable) {
-  const bool waits =
-      this->TakeEnd(session, run, end, checkpoint, std::move(durable));
+  const bool pending =
+      this->ApplyRunEnd(session, run, end, checkpoint, std::move(durable));
   const CrashHistory* crashes = this->context->jobs.FindCrashes(run.task);
   const bool last_start =
       crashes != nullptr && crashes->AtLimit(this->MaxLostWorkers());
   if (last_start && end != RunEnd::kDone) this->GiveUp(run.task);
-  return waits;
+  return pending;
 }
 
-bool RunControl::TakeEnd(WorkerSession* session, const RunRef& run, RunEnd end,
-                         std::string_view checkpoint,
-                         std::function<void()> durable) {
+bool RunControl::ApplyRunEnd(WorkerSession* session, const RunRef& run,
+                             RunEnd end, std::string_view checkpoint,
+                             std::function<void()> durable) {
   const Instant now = this->context->executor->Now();
   const SessionRun* record = session->FindRun(run);
   if (record != nullptr) this->NoteOutcome(*session, *record, run, end);
@@ -437,20 +446,21 @@
                              {"worker", Text(session->Incarnation())},
                              {"end", Name(end)},
                              {"counted", effect.matched ? 1 : 0}});
-  if (effect.gang_over) this->StopGang(run);
+  if (effect.gang_ended) this->StopGang(run);
   if (effect.job_final) this->StoreFinal(entry);
-  // Failure: a gang's members end well together, the first end is being stored
-  // and the worker is told to forget another one; the owner dies before the
-  // write, and its successor finds no end there and runs the gang again.
-  const bool tells = end == RunEnd::kDone || end == RunEnd::kFailed;
-  const bool waits =
+  // Failure: all members of a gang complete, the first end is being stored, and
+  // a worker is told that it may forget another one. The owner crashes before
+  // the write is done, and its successor finds no end and runs the gang again.
+  const bool ended_by_itself = end == RunEnd::kDone || end == RunEnd::kFailed;
+  const bool pending =
       effect.durable ||
-      (tells && this->context->writer->Pending(run.task.step.job));
-  if (waits) {
+      (ended_by_itself &&
+       this->context->writer->HasPendingWrite(run.task.step.job));
+  if (pending) {
     this->context->writer->Write(run.task.step.job, std::move(durable));
   }
-  this->context->dispatcher->Kick();
-  return waits;
+  this->context->dispatcher->SchedulePass();
+  return pending;
 }
 
 void RunControl::NoteOutcome(const WorkerSession& session,
@@ -474,7 +484,7 @@
 void RunControl::StoreFinal(JobEntry* entry) {
   const JobId id = entry->job.id;
   if (entry->state == JobState::kCompleted) {
-    // What is left of it has ended; its ends are still to be listed.
+    // All tasks are complete; the remaining ends only need to be listed.
     this->context->advice->ForgetJob(id);
   } else {
     this->StopJob(*entry);
@@ -487,13 +497,13 @@
                                {"state", Name(stored->state)},
                                {"cause", stored->failure},
                                {"token", this->context->token}});
-    // From here on only its state is of use.
+    // Only the final state is needed from now on.
     this->context->ended->Note(id, {stored->state, stored->failure});
     this->context->jobs.Remove(id);
   }));
 }
 
-void RunControl::LoseAll(WorkerSession* session, LossCause cause) {
+void RunControl::HandleWorkerLoss(WorkerSession* session, LossCause cause) {
   this->context->log->Write("workers", "worker-lost",
                             {{"worker", Text(session->Incarnation())},
                              {"runs", session->runs.size()},
@@ -504,7 +514,7 @@
   }
   session->MarkSilent(this->context->executor->Now(), false);
   session->fenced = false;
-  session->gone = cause == LossCause::kOtherLife;
+  session->gone = cause == LossCause::kOtherIncarnation;
   const Outage outage = this->NoteOutage(*session);
   std::vector<RunRef> lost;
   for (const auto& [run, record] : session->runs) {
@@ -515,7 +525,7 @@
   this->Discount(outage);
   for (const RunRef& run : lost) {
     if (this->BlockIfMayStart(session, run, cause)) continue;
-    this->TakeEnd(session, run, RunEnd::kLapsed, "", {});
+    this->ApplyRunEnd(session, run, RunEnd::kLapsed, "", {});
   }
   for (const RunRef& run : lost) this->GiveUpIfUnsafe(run.task);
   if (cause == LossCause::kLeaseLapsed) return;
@@ -529,13 +539,13 @@
                             const SessionRun& former) {
   const Instant now = this->context->executor->Now();
   SessionRun record;
-  record.takes = former.takes;
+  record.resources = former.resources;
   record.phase = RunPhase::kOrdered;
   record.blocked = true;
   record.stopping = true;
   record.start_sent = former.start_sent;
   record.started_at = now;
-  record.moved_at = now;
+  record.last_progress_at = now;
   record.expected_end = now;
   session->AddRun(run, record);
   this->SendStop(session->Incarnation(), run);
@@ -547,20 +557,20 @@
   record.quarantined = false;
   record.alone = false;
   record.order_in_flight = false;
-  record.listed_from = this->context->executor->Now();
+  record.expected_listed_from = this->context->executor->Now();
   record.seen_running.reset();
   session->AddRun(run, record);
   this->context->jobs.Relocate(run, session->Incarnation());
   if (record.stopping) {
     this->SendStop(session->Incarnation(), run);
-  } else if (!this->IsWhole(run)) {
+  } else if (!this->IsGangRunIntact(run)) {
     this->StopGang(run);
   } else {
     this->QuarantineIfSuspicious(session, run);
   }
 }
 
-bool RunControl::IsWhole(const RunRef& member) {
+bool RunControl::IsGangRunIntact(const RunRef& member) {
   const Step* step = this->context->jobs.FindStep(member.task.step);
   if (step == nullptr || !step->gang) return true;
   for (std::int32_t i = 0; i < step->tasks; ++i) {
@@ -574,7 +584,7 @@
   const Instant now = this->context->executor->Now();
   std::vector<RunRef> over;
   for (const auto& [run, record] : session->runs) {
-    const bool may_start = record.start_sent + kLateStartWait > now;
+    const bool may_start = record.start_sent + kLateStartWindow > now;
     if (record.blocked && !may_start) over.push_back(run);
   }
   for (const RunRef& run : over) {
@@ -585,15 +595,15 @@
 bool RunControl::BlockIfMayStart(WorkerSession* session, const RunRef& run,
                                  LossCause cause) {
   SessionRun* record = session->FindRun(run);
-  if (record == nullptr || cause == LossCause::kOtherLife) return false;
+  if (record == nullptr || cause == LossCause::kOtherIncarnation) return false;
   if (cause == LossCause::kRestarted) return record->MayStartLate();
   if (record->blocked) return true;
-  // Failure: a worker that can't be reached has started again, and carries out
-  // a start that its former life left unanswered.
+  // Failure: a worker that is unreachable has restarted, and carries out a
+  // start order that its former incarnation left unanswered.
   const Instant now = this->context->executor->Now();
-  const bool restarts = session->Incarnation().born_ms != 0;
+  const bool restarts = session->Incarnation().start_unix_ms != 0;
   const bool unanswered = record->order_in_flight || record->start_unanswered;
-  const bool may_start = record->start_sent + kLateStartWait > now;
+  const bool may_start = record->start_sent + kLateStartWindow > now;
   if (!restarts || !unanswered || !may_start) return false;
   session->EndQuarantine(run);
   record->blocked = true;
@@ -605,25 +615,26 @@
 
 void RunControl::NoteLoss(const WorkerSession& session, const RunRef& run,
                           const SessionRun& record, LossCause cause) {
-  // What was never sent took nothing down, and a worker that drains ends by
-  // itself.
+  // A run whose start order was never sent cannot have caused the loss, and a
+  // draining worker stops on its own.
   if (record.phase == RunPhase::kPlanned || session.HasLeft()) return;
-  // Its loss was counted with the life that it was meant for.
+  // The loss was recorded for the incarnation that the start order was sent to.
   if (record.blocked) return;
   const Instant now = this->context->executor->Now();
   const bool certain = cause != LossCause::kLeaseLapsed;
-  const bool came_too_late =
-      certain && record.ordered_at && now - *record.ordered_at < kLeastRestart;
-  if (came_too_late) return;
-  // Of a worker that was silent before it is not known that the start arrived.
+  const bool ordered_after_crash = certain && record.ordered_at &&
+                                   now - *record.ordered_at < kMinRestartTime;
+  if (ordered_after_crash) return;
+  // If the worker had already stopped responding, it is unknown whether the
+  // start order arrived.
   const bool was_there =
       record.ordered_at &&
-      session.LastAnswer() + kRecentAnswer >= *record.ordered_at;
+      session.LastAnswer() + kRecentAnswerWindow >= *record.ordered_at;
   this->context->jobs.NoteLoss(
       run, {.worker = session.Incarnation(),
             .certain = certain,
             .survived = record.Survived(),
-            .at_start = record.reached && !record.seen_running,
+            .at_start = record.start_received && !record.seen_running,
             .alone = record.alone && was_there});
 }
 
@@ -639,20 +650,20 @@
     }
     return down;
   };
-  // Of one that never answered it is not known when it went.
+  // If a worker never responded, it is unknown when it went down.
   const auto went_down = [](const WorkerSession& session) {
     return session.LastAnswer() != Instant() && !session.HasLeft();
   };
   std::vector<DownWorker> silent;
   for (const auto& [id, session] : this->context->workers) {
-    const bool waits = session->suspect && !session->gone;
-    if (waits && went_down(*session)) silent.push_back(describe(*session));
+    const bool pending = session->unresponsive && !session->gone;
+    if (pending && went_down(*session)) silent.push_back(describe(*session));
   }
   if (!went_down(lost)) return {};
   const DownWorker down = describe(lost);
   this->context->outages.Note(down);
-  return this->context->outages.With(down, silent,
-                                     this->context->workers.Size());
+  return this->context->outages.FindOutage(down, silent,
+                                           this->context->workers.Size());
 }
 
 void RunControl::Discount(const Outage& outage) {
@@ -662,7 +673,7 @@
                             {{"tasks", discounted},
                              {"workers", outage.workers.size()},
                              {"unexplained", outage.unexplained},
-                             {"least", outage.least}});
+                             {"least", outage.min_unrelated_workers}});
 }
 
 void RunControl::GiveUpIfUnsafe(const TaskRef& task) {
@@ -677,11 +688,11 @@
   const std::string lost = entry->crashes.at(task).Text();
   this->context->log->Write("jobs", "task-given-up",
                             {{"task", Text(task)},
-                             {"reason", "workers were lost under it"},
+                             {"reason", "workers were lost while running it"},
                              {"lost_workers", lost}});
   this->context->metrics->Count("tasks_given_up", "reason=lost-workers");
-  this->context->jobs.Fail(
-      entry, "workers were lost under task " + Text(task) + ": " + lost);
+  this->context->jobs.Fail(entry, "workers were lost while running task " +
+                                      Text(task) + ": " + lost);
   this->StoreFinal(entry);
 }
 
@@ -705,7 +716,7 @@
        {"ordered_ms_ago", WholeMilliseconds(age)}});
 }
 
-void RunControl::Later(Duration delay, std::function<void()> task) {
+void RunControl::RunAfter(Duration delay, std::function<void()> task) {
   this->context->executor->After(delay, this->guard.Wrap(std::move(task)));
 }
 
--- a/packages/jobs/src/stored_progress.cc
+++ b/packages/jobs/src/stored_progress.cc
@@ -27,7 +27,7 @@
                              {{"reason", page.error().message()}});
     }
     this->items.clear();
-    this->parts.executor->After(kStoreRetry,
+    this->parts.executor->After(kStoreRetryDelay,
                                 this->guard.Wrap([this] { this->Read(); }));
     return;
   }
@@ -50,9 +50,9 @@
   return std::move(found.mapped());
 }
 
-void StoredProgress::ForgetUnclaimed() {
+void StoredProgress::RemoveUnclaimed() {
   const Instant now = this->parts.executor->Now();
-  if (now < this->completed_at + kRetention) return;
+  if (now < this->completed_at + kFinalStateRetention) return;
   for (const auto& [id, item] : std::exchange(this->items, {})) {
     this->Remove(id, item.revision);
   }
@@ -66,11 +66,11 @@
   this->parts.store->Commit(
       std::move(transaction),
       this->guard.Wrap([this, id](const CommitResult& result) {
-        // What is left is read by the next owner, which tries again.
+        // The next owner reads a record that remains and removes it again.
         this->parts.log->Write(
             "jobs", "progress-removed",
             {{"job", id.Text()},
-             {"done", result.end == CommitEnd::kCommitted ? 1 : 0}});
+             {"done", result.end == CommitOutcome::kCommitted ? 1 : 0}});
       }));
 }
 
--- a/packages/jobs/src/wait_report.cc
+++ b/packages/jobs/src/wait_report.cc
@@ -7,18 +7,18 @@
 
 using std::chrono::seconds;
 
-/// Pause between two lines about one step, and before the first.
-constexpr Duration kPause = seconds(2);
-/// Most lines a second: a fortieth of what the log takes.
-constexpr std::int32_t kMaxLines = 50;
+/// Interval between two lines about one step, and the delay before the first.
+constexpr Duration kReportInterval = seconds(2);
+/// A fortieth of the rate that the log accepts.
+constexpr std::int32_t kMaxLinesPerSecond = 50;
 
-std::string_view Name(Lateness lateness) {
-  switch (lateness) {
-    case Lateness::kInTime:
+std::string_view Name(DeadlineStatus deadline_status) {
+  switch (deadline_status) {
+    case DeadlineStatus::kOnTime:
       return "in-time";
-    case Lateness::kLate:
+    case DeadlineStatus::kLate:
       return "late";
-    case Lateness::kWorthless:
+    case DeadlineStatus::kExpired:
       break;
   }
   return "worthless";
@@ -44,25 +44,25 @@
   return "none";
 }
 
-std::string_view Name(WaitEnd end) {
+std::string_view Name(UnblockEvent end) {
   switch (end) {
-    case WaitEnd::kAnswer:
+    case UnblockEvent::kAnswer:
       return "answer";
-    case WaitEnd::kQuestion:
+    case UnblockEvent::kQuestion:
       return "question";
-    case WaitEnd::kPass:
+    case UnblockEvent::kPass:
       return "pass";
-    case WaitEnd::kReservations:
+    case UnblockEvent::kReservations:
       return "reservations";
-    case WaitEnd::kRuns:
+    case UnblockEvent::kRuns:
       return "runs";
-    case WaitEnd::kQuarantine:
+    case UnblockEvent::kQuarantine:
       return "quarantine";
-    case WaitEnd::kHold:
+    case UnblockEvent::kHold:
       return "hold";
-    case WaitEnd::kWorkers:
+    case UnblockEvent::kWorkers:
       return "workers";
-    case WaitEnd::kNothing:
+    case UnblockEvent::kNothing:
       break;
   }
   return "nothing";
@@ -79,60 +79,61 @@
   return WaitReason::kNone;
 }
 
-WaitEnd WaitFacts::End() const {
-  if (this->asking) return WaitEnd::kAnswer;
-  if (this->helped_by_question) return WaitEnd::kQuestion;
+UnblockEvent WaitFacts::NextUnblockEvent() const {
+  if (this->asking) return UnblockEvent::kAnswer;
+  if (this->helped_by_question) return UnblockEvent::kQuestion;
   if (!this->gang && this->fresh_room >= this->needed) {
-    return this->quarantined ? WaitEnd::kQuarantine : WaitEnd::kPass;
+    return this->quarantined ? UnblockEvent::kQuarantine : UnblockEvent::kPass;
   }
   const bool has_room = this->room >= this->needed;
-  if (has_room && this->room_taken_by_gangs) return WaitEnd::kReservations;
-  // Other tasks ask only where there is room, and not if a worker whose
-  // permission holds has room soon.
+  if (has_room && this->room_taken_by_gangs) return UnblockEvent::kReservations;
+  // Other tasks ask only where capacity is free, and not if a worker with a
+  // valid permission will have capacity soon.
   const bool waits_for_runs = !this->gang || !has_room;
-  if (waits_for_runs && this->fits_later) return WaitEnd::kRuns;
-  if (this->held > 0) return WaitEnd::kHold;
+  if (waits_for_runs && this->fits_later) return UnblockEvent::kRuns;
+  if (this->held > 0) return UnblockEvent::kHold;
   const bool all_known =
       !this->has_policy || this->permitted + this->refused >= this->eligible;
-  if (!has_room && all_known) return WaitEnd::kWorkers;
-  return WaitEnd::kNothing;
+  if (!has_room && all_known) return UnblockEvent::kWorkers;
+  return UnblockEvent::kNothing;
 }
 
 WaitReport::WaitReport(EventLog* log, Metrics* metrics)
     : log(log), metrics(metrics) {}
 
-bool WaitReport::Due(const Unit& unit, Instant now) {
-  Instant& report_after = unit.progress->report_after;
-  if (report_after == Instant()) report_after = now + kPause;
+bool WaitReport::Due(const SchedulingUnit& unit, Instant now) {
+  Instant& report_after = unit.progress->next_wait_report;
+  if (report_after == Instant()) report_after = now + kReportInterval;
   if (now < report_after) return false;
   if (now - this->second >= seconds(1)) {
     this->second = now;
     this->lines = 0;
   }
-  if (this->lines == kMaxLines) return false;
+  if (this->lines == kMaxLinesPerSecond) return false;
   ++this->lines;
-  report_after = now + kPause;
+  report_after = now + kReportInterval;
   return true;
 }
 
-void WaitReport::Write(const Unit& unit, const WaitFacts& facts, Instant now) {
+void WaitReport::Write(const SchedulingUnit& unit, const WaitFacts& facts,
+                       Instant now) {
   const std::string_view reason = Name(facts.Reason());
   this->log->Write(
       "jobs", "step-waits",
       {{"step", Text(unit.ref)},
        {"queue", unit.queue->name.Text()},
        {"reason", reason},
-       {"until", Name(facts.End())},
+       {"until", Name(facts.NextUnblockEvent())},
        {"tasks", unit.tasks.size()},
        {"needed", facts.needed},
-       {"lateness", Name(unit.lateness)},
+       {"lateness", Name(unit.deadline_status)},
        {"eligible", facts.eligible},
        {"permitted", facts.permitted},
        {"refused", facts.refused},
        {"could_fit", facts.could_fit},
        {"room", facts.room},
        {"fresh_room", facts.fresh_room},
-       {"waited_ms", WholeMilliseconds(now - unit.entry->learnt)}});
+       {"waited_ms", WholeMilliseconds(now - unit.entry->learned_at)}});
   const std::string label =
       "queue=" + unit.queue->name.Text() + ",reason=" + std::string(reason);
   this->metrics->Count("step_waits", label);
--- a/packages/jobs/src/worker_session.cc
+++ b/packages/jobs/src/worker_session.cc
@@ -14,8 +14,8 @@
 
 bool SessionRun::MayStartLate() const {
   if (this->phase == RunPhase::kPlanned) return false;
-  // A former owner's starts are not known, and an answer to a start does not
-  // tell which life gave it.
+  // The start orders of a previous owner are not known, and a response to a
+  // start order does not show which incarnation sent it.
   return !this->ordered_at || this->order_in_flight || this->start_unanswered ||
          !this->seen_running;
 }
@@ -25,43 +25,44 @@
     : info(std::move(info)),
       number(number),
       known_since(known_since),
-      lapses_at(inherited_until) {}
+      lease_expires_at(inherited_until) {}
 
-void WorkerSession::LearnBirth(std::int64_t born_ms) {
-  if (this->info.incarnation.born_ms == 0) {
-    this->info.incarnation.born_ms = born_ms;
+void WorkerSession::SetStartTimeIfUnknown(std::int64_t start_unix_ms) {
+  if (this->info.incarnation.start_unix_ms == 0) {
+    this->info.incarnation.start_unix_ms = start_unix_ms;
   }
 }
 
 std::int64_t WorkerSession::LeaseUntilMs(Instant now, Duration lease) const {
   if (!this->clock) return 0;
   return this->clock->clock_ms +
-         WholeMilliseconds(now - this->clock->answered + lease);
+         WholeMilliseconds(now - this->clock->received_at + lease);
 }
 
 void WorkerSession::NoteLeaseSent(std::int64_t until_ms) {
   if (until_ms <= this->lease_sent_ms || !this->clock) return;
   this->lease_sent_ms = until_ms;
   // Failure: a task is started elsewhere while the worker, whose clock is slow,
-  // still runs it. The clock was read at some moment before the answer came, a
-  // waiting hold's at its very end; counted from the answer, at the slowest
-  // rate, the worker's clock has passed the lease's end by then.
+  // still runs it. The clock was read at some time before the response arrived;
+  // for a hold that waits, at the very end. Counted from the response at the
+  // slowest permitted rate, the worker's clock has passed the end of the lease
+  // by the computed time.
   const double left_ms = static_cast<double>(until_ms - this->clock->clock_ms) /
                          kSlowestWorkerClock;
-  const Instant lapse = this->clock->answered +
+  const Instant lapse = this->clock->received_at +
                         milliseconds(static_cast<std::int64_t>(left_ms) + 1) +
-                        kLapseMargin;
-  this->lapses_at = std::max(this->lapses_at, lapse);
+                        kLeaseExpiryMargin;
+  this->lease_expires_at = std::max(this->lease_expires_at, lapse);
 }
 
 void WorkerSession::NoteClock(ClockReading reading) {
   if (reading.clock_ms == 0) return;
-  const bool older = this->clock && reading.asked < this->clock->asked;
+  const bool older = this->clock && reading.sent_at < this->clock->sent_at;
   if (!older) this->clock = reading;
 }
 
 bool WorkerSession::MarkSilent(Instant now, bool exact) {
-  if (std::exchange(this->suspect, true)) return false;
+  if (std::exchange(this->unresponsive, true)) return false;
   this->silent_since = now;
   this->silence_exact = exact;
   return true;
@@ -69,31 +70,32 @@
 
 bool WorkerSession::HasLeft() const {
   if (!this->info.draining) return false;
-  return !this->suspect || this->silent_since + kDrainNotice >= this->leaves_at;
+  return !this->unresponsive ||
+         this->silent_since + kDrainDetectionDelay >= this->leaves_at;
 }
 
 Instant WorkerSession::LastAnswer() const {
-  return this->clock ? this->clock->answered : Instant();
+  return this->clock ? this->clock->received_at : Instant();
 }
 
 void WorkerSession::AddRun(const RunRef& run, SessionRun record) {
   const auto [found, added] = this->runs.emplace(run, record);
-  if (added) this->used += record.takes;
+  if (added) this->used += record.resources;
 }
 
 void WorkerSession::RemoveRun(const RunRef& run) {
   const auto found = this->runs.find(run);
   if (found == this->runs.end()) return;
   this->EndQuarantine(run);
-  this->used -= found->second.takes;
+  this->used -= found->second.resources;
   this->runs.erase(found);
 }
 
-void WorkerSession::Quarantine(const RunRef& run, Duration proving_time) {
+void WorkerSession::Quarantine(const RunRef& run, Duration probation_period) {
   SessionRun* record = this->FindRun(run);
   if (record == nullptr) return;
-  record->proving_time = proving_time;
-  // The run itself is one.
+  record->probation_period = probation_period;
+  // The count includes the run itself.
   record->alone = this->CountUnproven() == 1;
   if (!std::exchange(record->quarantined, true)) ++this->quarantined;
 }
@@ -108,7 +110,7 @@
 std::size_t WorkerSession::CountUnproven() const {
   return static_cast<std::size_t>(std::count_if(
       this->runs.begin(), this->runs.end(),
-      [](const auto& one) { return one.second.Survived() < kProvenRun; }));
+      [](const auto& one) { return one.second.Survived() < kProvenRunTime; }));
 }
 
 SessionRun* WorkerSession::FindRun(const RunRef& run) {
@@ -130,13 +132,13 @@
   return !this->used.FitsIn(this->info.capacity);
 }
 
-Resources WorkerSession::FreeBy(Instant now, Instant moment,
-                                Resources free) const {
+Resources WorkerSession::ExpectedFreeAt(Instant now, Instant moment,
+                                        Resources free) const {
   for (const auto& [run, record] : this->runs) {
-    // One that is overdue already may take any time.
+    // The remaining time of an overdue run is unknown.
     const bool ends =
         record.expected_end > now && record.expected_end <= moment;
-    if (ends) free += record.takes;
+    if (ends) free += record.resources;
   }
   return free;
 }
--- a/packages/jobs/tests/ask_choice_test.cc
+++ b/packages/jobs/tests/advice_selection_test.cc
@@ -1,4 +1,4 @@
-#include "ask_choice.h"
+#include "advice_selection.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -15,9 +15,9 @@
 using job_sim::MakeStep;
 
 constexpr Instant kNow{seconds(1000)};
-constexpr Instant kAnswered = kNow + milliseconds(600);
+constexpr Instant kAnswerDue = kNow + milliseconds(600);
 
-/// Workers with room for some tasks of 1000 thousandths of a processor each.
+/// Workers with capacity for a number of tasks of 1000 milli-CPU each.
 struct Fixture {
   SessionNumber Add(std::int64_t tasks) {
     WorkerInfo info;
@@ -26,10 +26,10 @@
     info.capacity = {16'000, 64'000, 0, 0};
     this->sessions.push_back(std::make_unique<WorkerSession>(
         number, info, Instant(), Instant::min()));
-    auto room = std::make_unique<Room>();
-    room->session = this->sessions.back().get();
-    room->free = {tasks * 1000, 64'000, 0, 0};
-    this->rooms.push_back(std::move(room));
+    auto capacity = std::make_unique<WorkerCapacity>();
+    capacity->session = this->sessions.back().get();
+    capacity->free = {tasks * 1000, 64'000, 0, 0};
+    this->capacities.push_back(std::move(capacity));
     return number;
   }
   void Permit(SessionNumber session, Instant expires) {
@@ -38,29 +38,29 @@
   std::vector<SessionNumber> Choose(std::int32_t tasks, bool gang) {
     Step step = MakeStep(tasks, 1000, seconds(1));
     step.gang = gang;
-    AskWish wish;
-    wish.step = &step;
-    wish.tasks = tasks;
-    wish.advice = &this->advice;
-    wish.permitted_share = 0.5;
-    wish.cheap_workers = this->cheap_workers;
-    wish.now = kNow;
-    wish.answered = kAnswered;
+    AdviceSelectionInput input;
+    input.step = &step;
+    input.tasks = tasks;
+    input.advice = &this->advice;
+    input.permitted_share = 0.5;
+    input.workers_per_fixed_cost = this->workers_per_fixed_cost;
+    input.now = kNow;
+    input.answer_due = kAnswerDue;
     std::vector<Candidate> candidates;
-    for (const auto& room : this->rooms) {
-      candidates.push_back({.room = room.get()});
+    for (const auto& capacity : this->capacities) {
+      candidates.push_back({.capacity = capacity.get()});
     }
     std::vector<SessionNumber> chosen;
-    for (const AskedWorker& worker : ChooseAsked(wish, candidates)) {
+    for (const AskedWorker& worker : SelectWorkersToAsk(input, candidates)) {
       chosen.push_back(worker.session);
     }
     return chosen;
   }
 
   std::vector<std::unique_ptr<WorkerSession>> sessions;
-  std::vector<std::unique_ptr<Room>> rooms;
+  std::vector<std::unique_ptr<WorkerCapacity>> capacities;
   StepAdvice advice;
-  std::size_t cheap_workers = 0;
+  std::size_t workers_per_fixed_cost = 0;
 };
 
 bool Contains(const std::vector<SessionNumber>& all, SessionNumber one) {
@@ -69,9 +69,9 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ask_choice, Fixture)
+BOOST_FIXTURE_TEST_SUITE(advice_selection, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_first_question_is_about_those_with_most_room) {
+BOOST_AUTO_TEST_CASE(a_first_question_covers_workers_with_most_capacity) {
   for (int i = 0; i < 20; ++i) Add(1);
   const SessionNumber roomy = Add(8);
   const auto chosen = Choose(2, false);
@@ -79,7 +79,7 @@
   BOOST_TEST(chosen.front() == roomy);
 }
 
-BOOST_AUTO_TEST_CASE(workers_without_room_are_not_asked_about) {
+BOOST_AUTO_TEST_CASE(workers_without_capacity_are_not_asked_about) {
   for (int i = 0; i < 10; ++i) Add(0);
   const SessionNumber only = Add(1);
   const auto chosen = Choose(4, false);
@@ -87,8 +87,8 @@
   BOOST_TEST(chosen.front() == only);
 }
 
-// What the policy service said of a worker stays true. Asking again about those
-// it has refused took the time that other steps waited for.
+// An answer of the policy service stays valid. Repeated questions about refused
+// workers took time that other steps needed.
 BOOST_AUTO_TEST_CASE(refused_workers_are_never_asked_about_again) {
   for (int i = 0; i < 10; ++i) Add(2);
   advice.refused = {0, 1, 2, 3};
@@ -99,8 +99,8 @@
   }
 }
 
-// A gang knows where it may run, and its permissions have lapsed while it
-// waited for room. It asks about these alone, which is quick.
+// A gang knows workers that may run it, and its permissions expired while it
+// waited for capacity. It asks about those workers only, which is quick.
 BOOST_AUTO_TEST_CASE(a_gang_that_fits_where_it_may_run_renews_only) {
   for (int i = 0; i < 30; ++i) Add(4);
   for (SessionNumber i = 0; i < 6; ++i) Permit(i, kNow - seconds(1));
@@ -109,53 +109,53 @@
   for (const SessionNumber one : chosen) BOOST_TEST(one < 6U);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_that_does_not_fit_there_learns_of_others) {
+BOOST_AUTO_TEST_CASE(a_gang_that_does_not_fit_asks_about_others) {
   for (int i = 0; i < 30; ++i) Add(1);
-  for (SessionNumber i = 0; i < 4; ++i) Permit(i, kAnswered + seconds(1));
+  for (SessionNumber i = 0; i < 4; ++i) Permit(i, kAnswerDue + seconds(1));
   const auto chosen = Choose(8, true);
   BOOST_TEST(chosen.size() >= 8U);
   for (const SessionNumber one : chosen) BOOST_TEST(one >= 4U);
 }
 
-// The cell is nearly full: a gang that asks only about workers with room learns
-// of two at a time, and asks a dozen times before it may start.
-BOOST_AUTO_TEST_CASE(a_gang_learns_of_full_workers_too) {
+// In a nearly full cell, a gang that asks only about workers with free capacity
+// learns about two at a time and asks a dozen times before it starts.
+BOOST_AUTO_TEST_CASE(a_gang_also_asks_about_full_workers) {
   for (int i = 0; i < 40; ++i) Add(0);
   Add(1);
-  Permit(40, kAnswered + seconds(1));
-  cheap_workers = 30;
+  Permit(40, kAnswerDue + seconds(1));
+  workers_per_fixed_cost = 30;
   BOOST_TEST(Choose(8, true).size() == 40U);
   BOOST_TEST(Choose(8, false).empty());
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_asked_while_permissions_hold_for_all) {
   for (int i = 0; i < 10; ++i) Add(4);
-  Permit(0, kAnswered + seconds(1));
-  Permit(1, kAnswered + seconds(1));
+  Permit(0, kAnswerDue + seconds(1));
+  Permit(1, kAnswerDue + seconds(1));
   BOOST_TEST(Choose(8, false).empty());
   BOOST_TEST(!Choose(9, false).empty());
 }
 
 // One more worker costs a hundredth of the question: few questions about many
-// workers use the policy service less than many about few.
-BOOST_AUTO_TEST_CASE(dear_questions_are_about_many_workers) {
+// workers use less of the policy service's time than many about few.
+BOOST_AUTO_TEST_CASE(expensive_questions_cover_many_workers) {
   for (int i = 0; i < 200; ++i) Add(4);
-  cheap_workers = 60;
+  workers_per_fixed_cost = 60;
   BOOST_TEST(Choose(2, false).size() == 30U);
-  Permit(0, kAnswered + seconds(1));
+  Permit(0, kAnswerDue + seconds(1));
   BOOST_TEST(Choose(8, true).size() == 60U);
-  cheap_workers = 500;
+  workers_per_fixed_cost = 500;
   BOOST_TEST(Choose(8, true).size() == kMaxAdviceWorkers);
 }
 
-BOOST_AUTO_TEST_CASE(room_that_should_be_free_in_time_counts) {
+BOOST_AUTO_TEST_CASE(capacity_expected_to_be_free_counts) {
   const SessionNumber busy = Add(0);
   SessionRun record;
-  record.takes = {2000, 0, 0, 0};
+  record.resources = {2000, 0, 0, 0};
   record.expected_end = kNow + milliseconds(300);
   sessions[busy]->AddRun({{{JobId("j"), 0, 0}, 0}, 1}, record);
   BOOST_TEST(Choose(2, false).size() == 1U);
-  // What is overdue may take any time.
+  // The remaining time of an overdue run is unknown.
   record.expected_end = kNow - milliseconds(1);
   sessions[busy]->RemoveRun({{{JobId("j"), 0, 0}, 0}, 1});
   sessions[busy]->AddRun({{{JobId("j"), 0, 0}, 0}, 1}, record);
--- a/packages/jobs/tests/cell_basic_test.cc
+++ b/packages/jobs/tests/cell_basic_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <set>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 #include "mustardproxy/core/error.h"
 
@@ -28,10 +28,10 @@
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(10)));
   BOOST_TEST((cell->Ask(job->job.id, 1) == JobState::kCompleted));
   BOOST_TEST(cell->Judge().Runs() == 9);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-BOOST_AUTO_TEST_CASE(every_process_tells_the_state_of_every_job) {
+BOOST_AUTO_TEST_CASE(every_process_reports_the_state_of_every_job) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 1000, seconds(2))}), 2);
   cell->Time().RunFor(milliseconds(500));
@@ -43,20 +43,19 @@
   }
 }
 
-// A caller gets no answer and hands its job in again at another process, at the
-// same time and seconds later. It is one job, and each task runs once.
+// A caller without an answer submits its job again at another process, at the
+// same time and seconds later. It stays one job, and each task runs once.
 BOOST_AUTO_TEST_CASE(the_same_id_at_every_process_is_one_job) {
   const auto cell = SimCell::Builder().Processes(3).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(2, 1000, seconds(1))}), 0);
   int accepted = 0;
   const auto again = [&](std::size_t process) {
     cell->ProcessAt(process)->Post([&cell, &accepted, job, process] {
-      cell->NodeAt(process)->Submit(job->job.queue, job->job.id, job->job.spec,
-                                    seconds(3),
-                                    [&accepted](const SubmitResult& result) {
-                                      if (result.end == SubmitEnd::kAccepted)
-                                        ++accepted;
-                                    });
+      cell->NodeAt(process)->Submit(
+          job->job.queue, job->job.id, job->job.spec, seconds(3),
+          [&accepted](const SubmitResult& result) {
+            if (result.end == SubmitOutcome::kAccepted) ++accepted;
+          });
     });
   };
   again(1);
@@ -66,7 +65,7 @@
   cell->Time().RunFor(seconds(3));
   BOOST_TEST(accepted == 3);
   BOOST_TEST(cell->Judge().Runs() == 2);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_job_that_always_fails_ends_after_its_attempts) {
@@ -76,7 +75,7 @@
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(10)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
   BOOST_TEST(cell->Judge().Runs() == 3);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_cancelled_job_stops_and_stays_cancelled) {
@@ -90,9 +89,9 @@
     BOOST_TEST(worker->RunningCount() == 0U);
   }
   BOOST_TEST((cell->Ask(job->job.id, 2) == JobState::kCancelled));
-  // A late copy of the request that handed it in changes nothing.
+  // A delayed duplicate of the submission changes nothing.
   cell->Submit(job->job.spec, 0);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_runs_whole) {
@@ -102,11 +101,11 @@
   SimJob* job = cell->Submit(spec);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(10)));
   BOOST_TEST(cell->Judge().Runs() == 10);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Small tasks keep all workers busy, and more come all the time. A gang that
-// needs three quarters of the cell still gets its turn.
+// Small tasks keep all workers busy, and more arrive all the time. A gang that
+// needs three quarters of the cell is still scheduled.
 BOOST_AUTO_TEST_CASE(a_wide_gang_is_not_starved_by_small_tasks) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->queue.stretch = 3.0;
@@ -121,7 +120,7 @@
   spec.steps[0].gang = true;
   SimJob* gang = cell->Submit(spec);
   BOOST_TEST(cell->AwaitFinal(gang->job.id, seconds(12)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(only_permitted_workers_get_tasks) {
@@ -130,7 +129,7 @@
   SimJob* job = cell->Submit(MakeSpec({MakeStep(6, 4000, seconds(1))}));
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(15)));
   BOOST_TEST(cell->Log().Count("permissions") >= 1U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_CASE(a_draining_worker_gets_nothing_new) {
@@ -154,8 +153,8 @@
   BOOST_TEST(cell->AwaitFinal(more->job.id, seconds(4)));
 }
 
-// A worker fails all that it is given, at once, so it always looks idle. The
-// others get the work after a few failures.
+// A worker fails all its tasks immediately, so it always looks idle. After a
+// few failures the others get the tasks.
 BOOST_AUTO_TEST_CASE(a_worker_that_fails_everything_is_left_out) {
   const auto cell = SimCell::Builder().Workers(4).MaxAttempts(20).Build();
   cell->Workers().Find("w1")->fails_all = true;
@@ -165,11 +164,11 @@
   }
   cell->Settle(seconds(20));
   BOOST_TEST(cell->Judge().Runs() < 40 + 15);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A worker fails what it runs. A task that failed there is tried elsewhere, so
-// that its two attempts are not both lost on that worker.
+// A failed task is retried on another worker, so that its two attempts are not
+// both lost on the failing one.
 BOOST_AUTO_TEST_CASE(a_task_that_failed_is_tried_on_another_worker) {
   const auto cell = SimCell::Builder().Workers(2).MaxAttempts(2).Build();
   cell->Workers().Find("w0")->fails_all = true;
--- a/packages/jobs/tests/cell_capacity_test.cc
+++ b/packages/jobs/tests/cell_capacity_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -21,8 +21,8 @@
 
 BOOST_AUTO_TEST_SUITE(cell_capacity)
 
-// Guards against starts that were placed in room which is gone once they leave.
-BOOST_AUTO_TEST_CASE(a_start_that_waited_for_the_store_fits_the_room_of_now) {
+// Guards against sending a start for capacity that no longer exists.
+BOOST_AUTO_TEST_CASE(a_delayed_start_is_checked_against_current_capacity) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   cell->Store().leases_run_on = false;
   Step second = MakeStep(2, 7000, seconds(1));
@@ -39,11 +39,12 @@
   BOOST_TEST(cell->Workers().Find("w0")->RunningCount() == 0U);
   cell->ResizeWorker(worker, kWhole);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against placing by what a worker had, or not using what it has again.
-BOOST_AUTO_TEST_CASE(room_follows_what_a_worker_says_it_has) {
+// Guards against placing by a worker's former capacity, and against not using
+// restored capacity.
+BOOST_AUTO_TEST_CASE(placement_follows_registered_capacity) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   SimWorker* worker = cell->Workers().Find("w0");
   cell->Submit(MakeSpec({MakeStep(2, 5000, seconds(12))}));
@@ -52,12 +53,12 @@
   cell->Time().RunFor(seconds(1));
   SimJob* later = cell->Submit(MakeSpec({MakeStep(1, 5000, seconds(1))}));
   cell->Time().RunFor(seconds(8));
-  // What runs goes on, and nothing comes to it.
+  // Running tasks continue, and nothing is added.
   BOOST_TEST(worker->RunningCount() == 2U);
   cell->ResizeWorker(worker, kWhole);
   BOOST_TEST(cell->AwaitFinal(later->job.id, seconds(3)));
   cell->Settle(seconds(20));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_crash_test.cc
+++ b/packages/jobs/tests/cell_crash_test.cc
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return a job that is shown as failed, whose tasks crash their workers
+/// @return a submitted job whose tasks crash their workers
 SimJob* SubmitCrashing(SimCell* cell, const Step& step,
                        const CrashingTasks& crashing) {
   SimJob* job = cell->Submit(MakeSpec({step}));
@@ -29,32 +29,34 @@
 
 BOOST_AUTO_TEST_SUITE(cell_crash)
 
-// Guards against a task that is started on one worker after the other, each of
-// which crashes.
-BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up) {
+// Failure: a task that crashes its worker is started on one worker after the
+// other.
+BOOST_AUTO_TEST_CASE(job_fails_if_its_task_crashes_workers_at_start) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(1)), {});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(40)));
   const auto status = cell->AskStatus(job->job.id);
   BOOST_REQUIRE(status.has_value());
   BOOST_TEST((status->state == JobState::kFailed));
-  BOOST_TEST(status->cause.find("workers were lost under task job0.0.0.0") !=
-             std::string::npos);
-  CheckKept(cell.get());
+  BOOST_TEST(
+      status->cause.find("workers were lost while running task job0.0.0.0") !=
+      std::string::npos);
+  CheckInvariants(cell.get());
 }
 
-// The same for a crash some time after the worker has answered.
-BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_later_is_given_up) {
+// As above, but the task crashes its worker some time after the worker has
+// responded.
+BOOST_AUTO_TEST_CASE(job_fails_if_its_task_crashes_workers_later) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(5)),
                                {.after = milliseconds(1200)});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against an owner that does not know what former owners have seen.
-BOOST_AUTO_TEST_CASE(crashes_under_a_task_are_counted_over_changes_of_owner) {
+// Failure: a new owner does not know the losses seen by previous owners.
+BOOST_AUTO_TEST_CASE(crash_counts_survive_an_owner_change) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(1, 2000, seconds(1)), {});
   constexpr int kChanges = 6;
@@ -68,11 +70,12 @@
   }
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against a moment at which a change of owner forgets what was seen.
-BOOST_AUTO_TEST_CASE(an_owner_may_be_lost_at_any_moment_of_it) {
+// Failure: if the owner is lost at an unfavourable time, its successor does not
+// know the recorded losses.
+BOOST_AUTO_TEST_CASE(crash_counts_survive_loss_of_the_owner_at_any_time) {
   constexpr milliseconds kStep(150);
   constexpr milliseconds kLast(15'000);
   for (milliseconds moment{0}; moment < kLast; moment += kStep) {
@@ -83,76 +86,76 @@
     BOOST_TEST_CONTEXT("after " << moment.count() << " ms") {
       BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
       BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-      CheckKept(cell.get());
+      CheckInvariants(cell.get());
     }
   }
 }
 
-// Guards against blaming tasks that merely run on a worker that crashes.
-BOOST_AUTO_TEST_CASE(tasks_beside_crashing_ones_are_done) {
+// Failure: tasks that merely share a worker with a crashing task are blamed for
+// its loss.
+BOOST_AUTO_TEST_CASE(tasks_sharing_workers_with_crashing_tasks_complete) {
   const auto cell = SimCell::Builder().Workers(12).Build();
-  std::vector<SimJob*> sound;
+  std::vector<SimJob*> healthy;
   constexpr int kRounds = 20;
   constexpr int kCrashingEvery = 5;
   for (int i = 0; i < kRounds; ++i) {
-    sound.push_back(cell->Submit(MakeSpec({MakeStep(3, 1500, seconds(2))})));
+    healthy.push_back(cell->Submit(MakeSpec({MakeStep(3, 1500, seconds(2))})));
     if (i % kCrashingEvery == 0) {
       SubmitCrashing(cell.get(), MakeStep(2, 1500, seconds(2)), {});
     }
     cell->Time().RunFor(milliseconds(400));
   }
   cell->Settle(seconds(90));
-  for (const SimJob* job : sound) {
+  for (const SimJob* job : healthy) {
     BOOST_TEST((cell->Ask(job->job.id) == JobState::kCompleted));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against a gang that is started anew whenever one member has taken its
-// worker down.
-BOOST_AUTO_TEST_CASE(a_gang_whose_member_crashes_its_worker_is_given_up) {
+// Failure: a gang is restarted each time one member has crashed its worker.
+BOOST_AUTO_TEST_CASE(job_fails_if_a_gang_member_crashes_its_worker) {
   const auto cell = SimCell::Builder().Workers(8).Build();
   Step step = MakeStep(6, 6000, seconds(2));
   step.gang = true;
   SimJob* job = SubmitCrashing(cell.get(), step, {.index = 2});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against trying all tasks of a wide step at once when each of them
-// takes a worker down.
-BOOST_AUTO_TEST_CASE(tasks_of_a_suspicious_step_are_tried_one_at_a_time) {
+// Failure: all tasks of a wide step are retried at once although each of them
+// crashes its worker.
+BOOST_AUTO_TEST_CASE(tasks_of_a_suspicious_step_are_retried_one_at_a_time) {
   constexpr std::int64_t kWorkers = 8;
   const auto cell = SimCell::Builder().Workers(kWorkers).Build();
   SimJob* job = SubmitCrashing(cell.get(), MakeStep(24, 4000, seconds(1)), {});
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(40)));
-  // Each worker once, and two more under the task that is tried.
+  // Each worker may be lost once, and two more while one task is retried.
   BOOST_TEST(cell->Judge().TaskCrashes() <= kWorkers + 2);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against other tasks that go down with a suspicious one.
-BOOST_AUTO_TEST_CASE(nothing_starts_beside_a_suspicious_task) {
+// Failure: other tasks are lost together with a suspicious task.
+BOOST_AUTO_TEST_CASE(no_task_starts_on_a_quarantined_worker) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   SimJob* crashing = SubmitCrashing(cell.get(), MakeStep(1, 1000, seconds(9)),
                                     {.after = milliseconds(800)});
   cell->Time().RunFor(milliseconds(700));
-  std::vector<SimJob*> sound;
+  std::vector<SimJob*> healthy;
   constexpr int kJobs = 60;
   for (int i = 0; i < kJobs; ++i) {
-    sound.push_back(cell->Submit(MakeSpec({MakeStep(2, 500, seconds(1))})));
+    healthy.push_back(cell->Submit(MakeSpec({MakeStep(2, 500, seconds(1))})));
     cell->Time().RunFor(milliseconds(200));
   }
   BOOST_TEST(cell->AwaitFinal(crashing->job.id, seconds(40)));
   cell->Settle(seconds(60));
   BOOST_TEST(cell->Judge().GivenUpWrongly() == 0U);
   BOOST_TEST(cell->Judge().TaskCrashes() == 3);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against taking a worker that was only cut off for one that crashed.
-BOOST_AUTO_TEST_CASE(a_worker_that_comes_back_clears_its_tasks) {
+// Failure: a worker that was only partitioned is taken for one that crashed.
+BOOST_AUTO_TEST_CASE(returning_worker_clears_suspicion_of_its_tasks) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 2000, seconds(40))}));
   constexpr int kCuts = 5;
@@ -167,11 +170,11 @@
   }
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kCompleted));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against a service that is given up because hosts fail in its life.
-BOOST_AUTO_TEST_CASE(a_service_outlives_the_failures_of_its_hosts) {
+// Failure: a long-running job is failed because hosts fail during its lifetime.
+BOOST_AUTO_TEST_CASE(long_running_job_survives_host_failures) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   Step step = MakeStep(1, 2000, seconds(1000));
   step.long_running = true;
@@ -185,7 +188,7 @@
   }
   cell->Time().RunFor(seconds(10));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kRunning));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_ended_test.cc
+++ b/packages/jobs/tests/cell_ended_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 #include "keys.h"
 #include "record_codec.h"
@@ -22,7 +22,7 @@
     return this->cell->Submit(MakeSpec({MakeStep(1, 100, length)}));
   }
 
-  /// Has many short jobs done.
+  /// Runs many short jobs to completion.
   void RunMany(int jobs) {
     for (int i = 0; i < jobs; ++i) this->Submit(milliseconds(10));
     this->cell->Time().RunFor(seconds(30));
@@ -34,7 +34,7 @@
     return job;
   }
 
-  /// The owner dies; another process takes over.
+  /// Kills the owner and waits until another process has taken over.
   std::size_t ChangeOwner() {
     const std::size_t former = this->cell->OwnerIndex().value();
     this->cell->KillProcess(former);
@@ -43,7 +43,8 @@
     return this->cell->OwnerIndex().value();
   }
 
-  /// @return how long the newest owner has read before it went to work
+  /// @return the time that the latest owner took to read its state before it
+  ///   started to schedule
   Duration LastReading() {
     constexpr std::string_view kField = "took_ms=";
     for (auto line = this->cell->Log().Lines().rbegin();
@@ -63,10 +64,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(cell_ended, Fixture)
 
-// All hosts lose power on a day on which 1,200 jobs have ended, and the store
-// takes 0.25 s an answer. Nothing is placed while the next owner reads: jobs,
-// ended ones too, page after page, and then their progress, took 1.5 s.
-BOOST_AUTO_TEST_CASE(a_takeover_reads_active_jobs_only_and_all_at_once) {
+// All hosts lose power after 1,200 jobs have ended, and the store takes 0.25 s
+// to respond. Failure: the new owner reads all jobs, including final ones, page
+// by page and then their progress, and places nothing for 1.5 s.
+BOOST_AUTO_TEST_CASE(
+    takeover_reads_only_active_jobs_concurrently_with_progress) {
   RunMany(1200);
   for (std::size_t i = 0; i < 3; ++i) cell->KillProcess(i);
   cell->Time().RunFor(seconds(1));
@@ -76,12 +78,12 @@
                         seconds(20));
   BOOST_TEST((LastReading() < milliseconds(300)));
   cell->Store().latency = milliseconds(4);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A job has ended under a former owner, and its caller hands it in once more.
-// It is the same job: accepted, shown as completed, and not run again.
-BOOST_AUTO_TEST_CASE(an_ended_job_that_is_handed_in_again_is_not_run_again) {
+// A caller resubmits a job that ended under a previous owner. It is accepted as
+// the same job, reported as completed and not run again.
+BOOST_AUTO_TEST_CASE(resubmitted_final_job_is_not_rerun) {
   SimJob* job = RunOne();
   const std::size_t owner = ChangeOwner();
   std::optional<SubmitResult> result;
@@ -92,14 +94,14 @@
   });
   cell->Time().RunFor(seconds(5));
   BOOST_REQUIRE(result.has_value());
-  BOOST_TEST((result->end == SubmitEnd::kAccepted));
+  BOOST_TEST((result->end == SubmitOutcome::kAccepted));
   BOOST_TEST((cell->Ask(job->job.id, owner) == JobState::kCompleted));
   BOOST_TEST(cell->Judge().Runs() == 1);
 }
 
-// A process stands still between its write and the answer to it. When it wakes
-// the job has been done, the owner has changed, and it announces the job.
-BOOST_AUTO_TEST_CASE(an_announcement_that_comes_late_runs_nothing) {
+// A process is paused between a write and its response. When it resumes and
+// announces the job, the job is done and the owner has changed.
+BOOST_AUTO_TEST_CASE(late_announcement_of_a_final_job_starts_no_task) {
   SimJob* job = RunOne();
   const std::size_t owner = ChangeOwner();
   cell->ProcessAt(owner)->Post([&] {
@@ -109,8 +111,8 @@
   BOOST_TEST(cell->Judge().Runs() == 1);
 }
 
-// Callers ask for a job that ended under a former owner, at any process.
-BOOST_AUTO_TEST_CASE(the_end_of_a_job_outlives_its_owner) {
+// Callers query a job that ended under a previous owner, at any process.
+BOOST_AUTO_TEST_CASE(final_state_survives_an_owner_change) {
   SimJob* job = RunOne();
   ChangeOwner();
   for (std::size_t i = 0; i < 3; ++i) {
@@ -118,9 +120,9 @@
   }
 }
 
-// The store holds a job that the version before has ended: its job is still
-// there, and its progress tells the end.
-BOOST_AUTO_TEST_CASE(an_end_that_was_kept_as_progress_is_taken_up) {
+// An earlier version stored the final state of a job as its progress and left
+// the key of the job in place.
+BOOST_AUTO_TEST_CASE(final_state_stored_as_progress_is_read) {
   Job job;
   job.id = JobId("former");
   job.queue = cell->queue;
@@ -137,8 +139,9 @@
   BOOST_TEST(cell->Judge().Runs() == 0);
 }
 
-// Final jobs are kept for as long as callers may ask, and then leave nothing.
-BOOST_AUTO_TEST_CASE(nothing_is_left_of_a_job_after_its_retention) {
+// The keys of a final job are kept for the retention time and removed
+// afterwards.
+BOOST_AUTO_TEST_CASE(expired_job_leaves_no_keys) {
   SimJob* job = Submit(seconds(60));
   cell->Time().RunFor(seconds(1));
   cell->Cancel(job->job.id);
@@ -155,10 +158,10 @@
   BOOST_TEST(cell->Store().Get(keys::OfCancel(id)) == nullptr);
 }
 
-// A job that fills the worker is cancelled while the worker can't be reached,
-// and its owner dies. The next one finds tasks running there of which it knows
-// nothing; if it took their room for free, the worker would be overcommitted.
-BOOST_AUTO_TEST_CASE(room_of_unknown_runs_is_not_given_away) {
+// A job that fills the worker is cancelled while the worker is unreachable, and
+// its owner crashes. The next owner finds running tasks that it does not know.
+// Failure: it considers their resources free and overcommits the worker.
+BOOST_AUTO_TEST_CASE(resources_of_unknown_runs_stay_reserved) {
   cell = SimCell::Builder().Processes(3).Workers(1).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 4000, seconds(30))}));
   cell->Time().RunFor(seconds(1));
@@ -175,7 +178,7 @@
   cell->Workers().late_orders = 0;
   SimJob* next = cell->Submit(MakeSpec({MakeStep(1, 4000, seconds(1))}));
   BOOST_TEST(cell->AwaitFinal(next->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_restart_test.cc
+++ b/packages/jobs/tests/cell_restart_test.cc
@@ -2,7 +2,7 @@
 #include <optional>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -16,14 +16,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return a cell whose workers start again under their ids
+/// @return a cell whose workers keep their ids when they restart
 std::unique_ptr<SimCell> MakeCell(std::size_t workers) {
   auto cell = SimCell::Builder().Workers(workers).Build();
   cell->ReuseWorkerIds();
   return cell;
 }
 
-/// Ends some jobs, so that ends of each worker have been noted.
+/// Runs some jobs to completion, so that ends of each worker have been
+/// acknowledged.
 void RunSomeJobs(SimCell* cell) {
   constexpr int kJobs = 6;
   for (int i = 0; i < kJobs; ++i) {
@@ -48,8 +49,9 @@
 
 BOOST_AUTO_TEST_SUITE(cell_restart)
 
-// Guards against ends of a worker's new life that are taken for known ones.
-BOOST_AUTO_TEST_CASE(ends_after_a_restart_under_the_same_id_are_read) {
+// Failure: the ends reported by a new incarnation are taken for ends that are
+// already known.
+BOOST_AUTO_TEST_CASE(ends_after_a_worker_restart_are_processed) {
   const auto cell = MakeCell(2);
   RunSomeJobs(cell.get());
   RestartAll(cell.get(), milliseconds(700));
@@ -57,13 +59,13 @@
       cell->Submit(MakeSpec({MakeStep(4, 4000, milliseconds(1500))}));
   BOOST_TEST(Completes(cell.get(), *job, seconds(10)));
   cell->Time().RunFor(seconds(10));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
   BOOST_TEST(cell->Judge().Runs() == 28);
 }
 
-// Guards against a worker that answers and is given up by the lease of its
-// former life.
-BOOST_AUTO_TEST_CASE(a_restarted_worker_that_answers_is_not_lost_by_its_lease) {
+// Failure: a worker that responds is considered lost because the lease of its
+// former incarnation expires.
+BOOST_AUTO_TEST_CASE(restarted_worker_is_not_lost_to_its_former_lease) {
   const auto cell = MakeCell(2);
   RunSomeJobs(cell.get());
   cell->Time().RunFor(seconds(20));
@@ -74,14 +76,14 @@
   const SimJob* after = cell->Submit(MakeSpec({MakeStep(2, 4000, seconds(8))}));
   BOOST_TEST(Completes(cell.get(), *before, seconds(15)));
   BOOST_TEST(Completes(cell.get(), *after, seconds(15)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
   for (const std::string& line : cell->Log().Lines()) {
     BOOST_TEST(line.find("reason=lease-lapsed") == std::string::npos, line);
   }
 }
 
-// Guards against sound jobs that are given up because their workers restart.
-BOOST_AUTO_TEST_CASE(jobs_survive_restarts_again_and_again) {
+// Failure: healthy jobs are failed because their workers restart.
+BOOST_AUTO_TEST_CASE(jobs_survive_repeated_worker_restarts) {
   const auto cell = MakeCell(6);
   std::vector<const SimJob*> jobs;
   constexpr int kRounds = 6;
@@ -100,22 +102,22 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(30)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against a bound on crashes that counts each id once.
-BOOST_AUTO_TEST_CASE(crashes_are_counted_over_restarts_under_one_id) {
+// Failure: the limit on lost workers counts each worker id only once.
+BOOST_AUTO_TEST_CASE(crashes_are_counted_across_restarts_of_one_worker_id) {
   const auto cell = MakeCell(1);
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 2000, seconds(1))}));
   job->crashing = job_sim::CrashingTasks{};
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(60)));
   BOOST_TEST((cell->Ask(job->job.id) == JobState::kFailed));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against sound jobs that are given up, or kept waiting as suspicious,
-// after outages of many workers.
-BOOST_AUTO_TEST_CASE(sound_jobs_survive_outages_of_many_workers) {
+// Failure: healthy jobs are failed, or delayed as suspicious, after outages of
+// many workers.
+BOOST_AUTO_TEST_CASE(healthy_jobs_survive_outages_of_many_workers) {
   const auto cell = MakeCell(40);
   std::vector<const SimJob*> jobs;
   constexpr std::size_t kJobs = 4;
@@ -134,12 +136,12 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(30)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against a start that the former life left unanswered and the new one
-// carries out while the task runs elsewhere.
-BOOST_AUTO_TEST_CASE(a_late_start_does_not_run_beside_a_newer_one) {
+// Failure: a start order that the former incarnation left unanswered is carried
+// out by the new one while the task runs elsewhere.
+BOOST_AUTO_TEST_CASE(delayed_start_does_not_run_concurrently_with_a_newer_run) {
   constexpr milliseconds kStep(100);
   constexpr milliseconds kLast(2000);
   for (milliseconds moment{0}; moment <= kLast; moment += kStep) {
@@ -152,12 +154,12 @@
     cell->Time().RunFor(milliseconds(600));
     cell->Workers().late_orders = 0;
     BOOST_TEST(Completes(cell.get(), *job, seconds(60)));
-    CheckKept(cell.get());
+    CheckInvariants(cell.get());
   }
 }
 
-// Guards against a new owner that asks the new life about runs of the former.
-BOOST_AUTO_TEST_CASE(a_restart_during_a_change_of_owner_loses_no_run) {
+// Failure: a new owner asks the new incarnation about runs of the former one.
+BOOST_AUTO_TEST_CASE(worker_restart_during_takeover_loses_no_run) {
   constexpr milliseconds kStep(200);
   constexpr milliseconds kLast(3000);
   for (milliseconds moment{0}; moment <= kLast; moment += kStep) {
@@ -174,13 +176,13 @@
     cell->StartProcess(*owner);
     BOOST_TEST(Completes(cell.get(), *job, seconds(40)));
     cell->Time().RunFor(seconds(5));
-    CheckKept(cell.get());
+    CheckInvariants(cell.get());
   }
 }
 
-// Guards against permissions, and refusals, of a former life that count for the
-// new one.
-BOOST_AUTO_TEST_CASE(a_new_life_is_asked_about_anew) {
+// Failure: permissions and rejections for a former incarnation are applied to
+// the new one.
+BOOST_AUTO_TEST_CASE(permissions_are_requested_again_for_a_new_incarnation) {
   auto cell =
       SimCell::Builder().Workers(8).Advice(0.5, milliseconds(60)).Build();
   cell->ReuseWorkerIds();
@@ -195,12 +197,12 @@
     BOOST_TEST(Completes(cell.get(), *wide, seconds(40)));
     BOOST_TEST(Completes(cell.get(), *narrow, seconds(40)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against a worker of another size that is given what fitted its former
-// life.
-BOOST_AUTO_TEST_CASE(a_smaller_life_is_not_overcommitted) {
+// Failure: a worker that restarts with another capacity receives tasks that fit
+// its former incarnation.
+BOOST_AUTO_TEST_CASE(smaller_incarnation_is_not_overcommitted) {
   const auto cell = MakeCell(3);
   cell->VaryCapacity(0.3);
   std::vector<const SimJob*> jobs;
@@ -212,11 +214,11 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(60)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against an entry that tells no birth and is not served any more.
-BOOST_AUTO_TEST_CASE(workers_that_tell_no_birth_are_served) {
+// Failure: workers whose entry has no start time are not used any more.
+BOOST_AUTO_TEST_CASE(workers_without_a_start_time_are_used) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->HideBirths();
   std::vector<const SimJob*> jobs;
@@ -228,7 +230,7 @@
   for (const SimJob* job : jobs) {
     BOOST_TEST(Completes(cell.get(), *job, seconds(40)));
   }
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/cell_worker_test.cc
+++ b/packages/jobs/tests/cell_worker_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -18,48 +18,49 @@
 
 BOOST_AUTO_TEST_SUITE(cell_worker)
 
-// A worker goes for good in the middle of its tasks. Each try to reach it used
-// to put off the moment at which its lease had lapsed for certain, and its
-// tasks never started elsewhere.
-BOOST_AUTO_TEST_CASE(tasks_of_a_worker_that_is_gone_start_elsewhere) {
+// A worker is lost permanently while it runs tasks. Failure: each attempt to
+// reach it postpones the time at which its lease is certain to have expired,
+// and its tasks are never started elsewhere.
+BOOST_AUTO_TEST_CASE(tasks_of_a_lost_worker_are_rescheduled) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(8, 3000, seconds(3))}));
   cell->Time().RunFor(seconds(1));
   cell->CrashWorker(cell->Workers().Find("w0"), std::nullopt);
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A worker has run nothing for a while, so its lease has lapsed. A task is
-// placed there, and while its start is being stored the worker was taken for
-// lost, and its other new tasks with it: each was placed again, a store call
-// later, at a worker that had to be fenced anew.
-BOOST_AUTO_TEST_CASE(an_idle_worker_is_not_lost_while_a_start_is_stored) {
+// A worker has been idle, so its lease has expired, when a task is placed on
+// it. Failure: while the start is being stored the worker is considered lost
+// together with its other new tasks, and each is placed again, one store call
+// later, on a worker that must be fenced again.
+BOOST_AUTO_TEST_CASE(idle_worker_is_not_lost_while_a_start_is_stored) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   cell->Time().RunFor(seconds(30));
   cell->Store().latency = milliseconds(250);
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 3000, seconds(1))}));
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
   BOOST_TEST(cell->Log().Count("worker-lost") == 0U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A worker crashes and comes back at once at the same address. Its next life
-// proves that the former one is over: nothing is waited for.
-BOOST_AUTO_TEST_CASE(the_next_life_of_a_worker_ends_the_wait) {
+// A worker crashes and restarts immediately at the same address. The new
+// incarnation proves that the former one has ended, so that its tasks need not
+// wait for the lease to expire.
+BOOST_AUTO_TEST_CASE(next_incarnation_confirms_the_loss_at_once) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimJob* job = cell->Submit(MakeSpec({MakeStep(4, 3000, seconds(2))}));
   cell->Time().RunFor(milliseconds(500));
   cell->CrashWorker(cell->Workers().Find("w0"), milliseconds(300));
   cell->CrashWorker(cell->Workers().Find("w1"), milliseconds(300));
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(6)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A worker is cut off from everybody and runs on. Its tasks start elsewhere
-// only once its lease has lapsed by its own slow clock, and what it lists when
-// it is back changes nothing.
-BOOST_AUTO_TEST_CASE(a_worker_cut_off_runs_nothing_twice) {
+// A worker is partitioned and keeps running. Its tasks are started elsewhere
+// only after its lease has expired by its own slow clock, and the runs that it
+// lists after the partition have no effect.
+BOOST_AUTO_TEST_CASE(partitioned_worker_causes_no_duplicate_run) {
   const auto cell = SimCell::Builder().Workers(3).Build();
   cell->Submit(MakeSpec({MakeStep(8, 3000, seconds(7))}));
   cell->Time().RunFor(seconds(1));
@@ -67,12 +68,12 @@
   cell->Time().RunFor(seconds(9));
   cell->Workers().cut.clear();
   cell->Settle(seconds(30));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A twentieth of the orders gets no answer and is carried out seconds later,
-// when the task may run elsewhere or be done.
-BOOST_AUTO_TEST_CASE(orders_that_are_carried_out_late_do_no_harm) {
+// 5 % of the orders get no response and are carried out seconds later, when the
+// task may be running elsewhere or be done.
+BOOST_AUTO_TEST_CASE(delayed_orders_cause_no_duplicate_run) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   cell->Workers().late_orders = 0.05;
   for (int i = 0; i < 20; ++i) {
@@ -88,13 +89,14 @@
   cell->Workers().late_orders = 0;
   cell->Time().RunFor(seconds(13));
   cell->Settle(seconds(60));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// The members of a gang end well. The first end is being stored when the store
-// falls silent; the others must not be forgotten by their workers before, or
-// the next owner finds no end and runs the gang again.
-BOOST_AUTO_TEST_CASE(ends_of_a_gang_are_kept_until_the_first_is_stored) {
+// All members of a gang complete, and the store stops responding while the
+// first end is being stored. Failure: the workers forget the other ends before
+// that, and the next owner finds no end and runs the gang again.
+BOOST_AUTO_TEST_CASE(
+    gang_ends_are_acknowledged_only_after_the_first_is_stored) {
   const auto cell = SimCell::Builder().Workers(4).Build();
   JobSpec spec = MakeSpec({MakeStep(8, 6000, seconds(2))});
   spec.steps[0].gang = true;
@@ -108,11 +110,11 @@
   cell->Store().silent = false;
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(20)));
   BOOST_TEST(cell->Judge().Runs() == 8);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// A task is stopped on its way and goes on elsewhere from its checkpoint.
-BOOST_AUTO_TEST_CASE(work_that_was_saved_is_not_done_again) {
+// A task is stopped while running and resumes elsewhere from its checkpoint.
+BOOST_AUTO_TEST_CASE(task_resumes_from_its_checkpoint) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   JobSpec spec = MakeSpec({MakeStep(1, 3000, seconds(10))});
   spec.steps[0].checkpointing = true;
@@ -129,9 +131,10 @@
   BOOST_TEST((cell->Time().Now() - stopped < seconds(6)));
 }
 
-// Something else overwrites a worker's entry. Nothing is started there until
-// the worker writes it anew; the other workers get work all the while.
-BOOST_AUTO_TEST_CASE(an_entry_that_is_broken_names_no_worker) {
+// The entry of a worker is overwritten with invalid data. No task is started on
+// it until the worker writes its entry again; the other workers keep receiving
+// tasks.
+BOOST_AUTO_TEST_CASE(invalid_worker_entry_stops_starts_on_that_worker) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   SimWorker* broken = cell->Workers().Alive().front();
   const std::string key = "workers/" + broken->Info().incarnation.id.Text();
@@ -146,21 +149,21 @@
   cell->Submit(MakeSpec({MakeStep(8, 4000, seconds(5))}));
   cell->Time().RunFor(seconds(1));
   BOOST_TEST(broken->RunningCount() == 4U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Guards against sending a start again as fast as it is turned down.
-BOOST_AUTO_TEST_CASE(a_start_that_is_turned_down_is_sent_ever_more_rarely) {
+// Failure: a start order is repeated as fast as it is rejected.
+BOOST_AUTO_TEST_CASE(rejected_start_is_retried_with_backoff) {
   const auto cell = SimCell::Builder().Workers(1).Build();
   SimWorker* worker = cell->Workers().Find("w0");
   worker->refuses_all = true;
   SimJob* job = cell->Submit(MakeSpec({MakeStep(1, 1000, seconds(1))}));
   cell->Time().RunFor(seconds(10));
-  constexpr std::size_t kMostTries = 30;
-  BOOST_TEST(cell->Log().Count("start-not-done") < kMostTries);
+  constexpr std::size_t kMaxStarts = 30;
+  BOOST_TEST(cell->Log().Count("start-not-done") < kMaxStarts);
   worker->refuses_all = false;
   BOOST_TEST(cell->AwaitFinal(job->job.id, seconds(5)));
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/job_table_test.cc
+++ b/packages/jobs/tests/job_table_test.cc
@@ -61,7 +61,7 @@
   BOOST_TEST(table.Active().empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_end_counts_once) {
+BOOST_AUTO_TEST_CASE(run_end_counts_once) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   BOOST_TEST(End(runs[0], RunEnd::kFailed).matched);
@@ -73,7 +73,7 @@
   BOOST_TEST((entry->state == JobState::kFailed));
 }
 
-BOOST_AUTO_TEST_CASE(an_end_of_an_older_run_changes_nothing) {
+BOOST_AUTO_TEST_CASE(end_of_an_older_run_is_ignored) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto old = Begin(entry, 0);
   End(old[0], RunEnd::kLapsed);
@@ -82,7 +82,7 @@
   BOOST_TEST((entry->state == JobState::kRunning));
 }
 
-BOOST_AUTO_TEST_CASE(a_good_end_that_comes_late_counts_if_nothing_newer_runs) {
+BOOST_AUTO_TEST_CASE(late_success_counts_if_no_newer_run_started) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   End(runs[0], RunEnd::kLapsed);
@@ -91,18 +91,18 @@
   BOOST_TEST(effect.job_final);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_shares_its_run_and_its_attempts) {
+BOOST_AUTO_TEST_CASE(gang_members_share_run_number_and_attempts) {
   JobSpec spec = MakeSpec({MakeStep(3, 100, seconds(1))});
   spec.steps[0].gang = true;
   JobEntry* entry = Add(spec);
   const auto runs = Begin(entry, 0);
   BOOST_TEST(runs[0].run == runs[2].run);
-  BOOST_TEST(End(runs[0], RunEnd::kFailed).gang_over);
+  BOOST_TEST(End(runs[0], RunEnd::kFailed).gang_ended);
   const StepEntry& step = entry->occurrences.at(0).steps[0];
-  // Nobody of a new run may meet a member of the old one.
+  // A member of the new run must not overlap with one of the old run.
   BOOST_TEST(JobTable::Startable(*entry, step, 0, kLater).empty());
-  End(runs[1], RunEnd::kBroken);
-  End(runs[2], RunEnd::kBroken);
+  End(runs[1], RunEnd::kGangMemberEnded);
+  End(runs[2], RunEnd::kGangMemberEnded);
   BOOST_TEST(step.failed_gang_runs == 1);
   const auto again = Begin(entry, 0);
   BOOST_TEST(again.size() == 3U);
@@ -110,19 +110,19 @@
   BOOST_TEST(End(again[1], RunEnd::kDone).job_final);
 }
 
-BOOST_AUTO_TEST_CASE(a_checkpoint_of_one_member_is_every_members) {
+BOOST_AUTO_TEST_CASE(checkpoint_of_one_gang_member_applies_to_all) {
   JobSpec spec = MakeSpec({MakeStep(2, 100, seconds(1))});
   spec.steps[0].gang = true;
   JobEntry* entry = Add(spec);
   const auto runs = Begin(entry, 0);
   End(runs[0], RunEnd::kStopped, "half");
-  End(runs[1], RunEnd::kBroken);
+  End(runs[1], RunEnd::kGangMemberEnded);
   for (const TaskEntry& task : entry->occurrences.at(0).steps[0].tasks) {
     BOOST_TEST(task.checkpoint == "half");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_long_running_task_starts_again_however_it_ends) {
+BOOST_AUTO_TEST_CASE(long_running_task_restarts_after_any_end) {
   JobSpec spec = MakeSpec({MakeStep(1, 100, seconds(1))});
   spec.steps[0].long_running = true;
   JobEntry* entry = Add(spec);
@@ -139,29 +139,30 @@
   spec.schedule = {.first_unix_ms = 1000, .interval_ms = 500, .occurrences = 3};
   JobEntry* entry = Add(spec);
   BOOST_TEST(entry->occurrences.empty());
-  BOOST_TEST(!JobTable::OpenDue(entry, 999));
-  BOOST_TEST(JobTable::OpenDue(entry, 1600));
+  BOOST_TEST(!JobTable::OpenDueOccurrences(entry, 999));
+  BOOST_TEST(JobTable::OpenDueOccurrences(entry, 1600));
   BOOST_TEST(entry->occurrences.size() == 2U);
   const std::vector<std::int32_t> task{0};
   const std::vector<WorkerIncarnation> worker{{WorkerId("w")}};
   const auto second = table.Begin(entry, {entry->job.id, 1, 0}, task, worker);
   End(second[0], RunEnd::kDone);
-  // The first one is still open, so the second one's end is kept.
+  // The first occurrence is still open, so the end of the second one is kept.
   BOOST_TEST(entry->first_open == 0);
   const auto first = table.Begin(entry, {entry->job.id, 0, 0}, task, worker);
   End(first[0], RunEnd::kDone);
   BOOST_TEST(entry->first_open == 2);
   BOOST_TEST((entry->state == JobState::kRunning));
-  JobTable::OpenDue(entry, 2000);
+  JobTable::OpenDueOccurrences(entry, 2000);
   const auto third = table.Begin(entry, {entry->job.id, 2, 0}, task, worker);
   BOOST_TEST(End(third[0], RunEnd::kDone).job_final);
 }
 
-BOOST_AUTO_TEST_CASE(a_run_that_never_started_is_taken_back) {
+BOOST_AUTO_TEST_CASE(unstarted_run_is_withdrawn) {
   JobEntry* entry = Add(MakeSpec({MakeStep(1, 100, seconds(1))}));
   const auto runs = Begin(entry, 0);
   table.Withdraw(runs[0]);
-  // Its number is used up all the same: a late copy of the order may exist.
+  // The run number is not reused, because a delayed copy of the order may
+  // exist.
   BOOST_TEST(Begin(entry, 0)[0].run == 2);
 }
 
--- a/packages/jobs/tests/outage_detector_test.cc
+++ b/packages/jobs/tests/outage_detector_test.cc
@@ -27,14 +27,15 @@
 }
 
 struct Fixture {
-  /// Notes that workers `first` to `last` went, each with a job of its own.
+  /// Records the loss of the workers `first` to `last`, each running a
+  /// different job.
   void Note(int first, int last, Instant since) {
     for (int i = first; i <= last; ++i) {
       this->detector.Note(Down(i, since, JobId(Numbered("job", i))));
     }
   }
-  Outage With(const DownWorker& down) {
-    return this->detector.With(down, {}, kWorkers);
+  Outage FindOutage(const DownWorker& down) {
+    return this->detector.FindOutage(down, {}, kWorkers);
   }
 
   OutageDetector detector;
@@ -44,44 +45,48 @@
 
 BOOST_FIXTURE_TEST_SUITE(outage_detector, Fixture)
 
-BOOST_AUTO_TEST_CASE(workers_that_go_one_by_one_are_no_outage) {
+BOOST_AUTO_TEST_CASE(workers_lost_one_by_one_are_not_an_outage) {
   for (int i = 0; i < 20; ++i) Note(i, i, kNow + milliseconds(400) * i);
-  const Outage outage = With(Down(30, kNow + seconds(2), JobId("j")));
-  BOOST_TEST(!outage.Exceeds(JobId("j")));
+  const Outage outage = FindOutage(Down(30, kNow + seconds(2), JobId("j")));
+  BOOST_TEST(!outage.RulesOutAsCause(JobId("j")));
 }
 
-BOOST_AUTO_TEST_CASE(many_workers_at_one_moment_exceed_a_job) {
+BOOST_AUTO_TEST_CASE(many_simultaneous_losses_rule_out_a_job_as_cause) {
   Note(0, 7, kNow);
-  const Outage outage = With(Down(30, kNow + milliseconds(20), JobId("j")));
+  const Outage outage =
+      FindOutage(Down(30, kNow + milliseconds(20), JobId("j")));
   BOOST_TEST(outage.unexplained == 9U);
-  BOOST_TEST(outage.Exceeds(JobId("j")));
+  BOOST_TEST(outage.RulesOutAsCause(JobId("j")));
 }
 
-// Guards against a wide job whose tasks take all their workers down at once.
-BOOST_AUTO_TEST_CASE(workers_of_a_job_do_not_exceed_it) {
+// Failure: a wide job whose tasks crash all their workers at once is taken for
+// an outage.
+BOOST_AUTO_TEST_CASE(losses_of_a_jobs_own_workers_do_not_rule_it_out) {
   const JobId wide("wide");
   for (int i = 0; i < 20; ++i) detector.Note(Down(i, kNow, wide));
-  const Outage outage = With(Down(30, kNow, wide));
-  BOOST_TEST(!outage.Exceeds(wide));
-  BOOST_TEST(outage.Exceeds(JobId("beside")));
+  const Outage outage = FindOutage(Down(30, kNow, wide));
+  BOOST_TEST(!outage.RulesOutAsCause(wide));
+  BOOST_TEST(outage.RulesOutAsCause(JobId("beside")));
 }
 
-// Guards against trials that discount each other.
-BOOST_AUTO_TEST_CASE(workers_kept_for_suspicious_tasks_do_not_count) {
+// Failure: crashes of workers that are quarantined for different suspicious
+// tasks discount each other.
+BOOST_AUTO_TEST_CASE(quarantined_workers_do_not_count) {
   for (int i = 0; i < 20; ++i) {
     DownWorker down = Down(i, kNow, JobId(Numbered("job", i)));
     down.quarantined = true;
     detector.Note(down);
   }
-  BOOST_TEST(!With(Down(30, kNow, JobId("j"))).Exceeds(JobId("j")));
+  BOOST_TEST(
+      !FindOutage(Down(30, kNow, JobId("j"))).RulesOutAsCause(JobId("j")));
 }
 
-BOOST_AUTO_TEST_CASE(a_moment_that_is_not_known_is_taken_widely) {
+BOOST_AUTO_TEST_CASE(inexact_loss_times_use_the_wider_window) {
   Note(0, 7, kNow);
   DownWorker late = Down(30, kNow + milliseconds(400), JobId("j"));
-  BOOST_TEST(!With(late).Exceeds(JobId("j")));
+  BOOST_TEST(!FindOutage(late).RulesOutAsCause(JobId("j")));
   late.exact = false;
-  BOOST_TEST(With(late).Exceeds(JobId("j")));
+  BOOST_TEST(FindOutage(late).RulesOutAsCause(JobId("j")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/placement_test.cc
+++ b/packages/jobs/tests/placement_test.cc
@@ -17,7 +17,7 @@
 
 constexpr Instant kNow{seconds(1000)};
 
-/// Workers with free processors in thousandths, two a rack.
+/// Workers with free processors in milli-CPU, two per rack.
 struct Fixture {
   void Add(std::int64_t free_cpu) {
     WorkerInfo info;
@@ -27,15 +27,16 @@
     info.capacity = {16'000, 64'000, 0, 0};
     this->sessions.push_back(std::make_unique<WorkerSession>(
         static_cast<SessionNumber>(number), info, Instant(), Instant::min()));
-    Room room;
-    room.session = this->sessions.back().get();
-    room.free = {free_cpu, 64'000, 0, 0};
-    this->rooms.push_back(room);
+    WorkerCapacity capacity;
+    capacity.session = this->sessions.back().get();
+    capacity.free = {free_cpu, 64'000, 0, 0};
+    this->capacities.push_back(capacity);
   }
 
   std::vector<Candidate> Candidates() {
     std::vector<Candidate> candidates;
-    for (Room& room : this->rooms) candidates.push_back({.room = &room});
+    for (WorkerCapacity& capacity : this->capacities)
+      candidates.push_back({.capacity = &capacity});
     return candidates;
   }
 
@@ -49,17 +50,17 @@
     return counts;
   }
 
-  /// A running task that should end at `end`.
+  /// Adds a running task that is expected to end at `end`.
   void Run(std::size_t worker, std::int64_t cpu, Instant end) {
     SessionRun record;
-    record.takes = {cpu, 0, 0, 0};
+    record.resources = {cpu, 0, 0, 0};
     record.expected_end = end;
     const RunRef run{{{JobId("j"), 0, 0}, this->next++}, 1};
     this->sessions[worker]->AddRun(run, record);
   }
 
   std::vector<std::unique_ptr<WorkerSession>> sessions;
-  std::vector<Room> rooms;
+  std::vector<WorkerCapacity> capacities;
   std::int32_t next = 0;
 };
 
@@ -73,8 +74,8 @@
   Step step = MakeStep(5, 2000, seconds(1));
   step.gang = true;
   BOOST_TEST(Place(step).empty());
-  // Nothing was taken by the try.
-  BOOST_TEST(rooms[0].free.cpu_milli == 4000);
+  // The failed attempt took nothing.
+  BOOST_TEST(capacities[0].free.cpu_milli == 4000);
   step.tasks = 4;
   BOOST_TEST(Place(step).size() == 2U);
 }
@@ -83,7 +84,7 @@
   Add(4000);
   const Step step = MakeStep(5, 2000, seconds(1));
   BOOST_TEST(Place(step)["w0"] == 2);
-  BOOST_TEST(rooms[0].free.cpu_milli == 0);
+  BOOST_TEST(capacities[0].free.cpu_milli == 0);
 }
 
 BOOST_AUTO_TEST_CASE(best_fit_keeps_large_gaps_whole) {
@@ -134,9 +135,9 @@
   BOOST_TEST(Place(step)["w0"] == 2);
 }
 
-// A gang needs both workers whole. Small tasks would take each gap as it opens;
-// only those that end before the gang's moment may.
-BOOST_AUTO_TEST_CASE(room_is_held_until_the_gang_should_fit) {
+// A gang needs both workers completely. Small tasks would take each gap as it
+// opens; only those that end before the gang's expected start may.
+BOOST_AUTO_TEST_CASE(capacity_is_held_until_the_gang_should_fit) {
   Add(0);
   Add(8000);
   Run(0, 16'000, kNow + seconds(3));
@@ -144,10 +145,10 @@
   Step step = MakeStep(2, 16'000, seconds(1));
   step.gang = true;
   std::vector<Candidate> candidates = Candidates();
-  HoldRooms(step, 2, candidates, kNow);
-  BOOST_TEST(rooms[0].held);
-  BOOST_TEST(rooms[1].held);
-  BOOST_TEST((rooms[1].held_until == kNow + seconds(5)));
+  HoldCapacity(step, 2, candidates, kNow);
+  BOOST_TEST(capacities[0].held);
+  BOOST_TEST(capacities[1].held);
+  BOOST_TEST((capacities[1].held_until == kNow + seconds(5)));
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_held_for_what_can_never_fit) {
@@ -155,8 +156,8 @@
   Step step = MakeStep(2, 16'000, seconds(1));
   step.gang = true;
   std::vector<Candidate> candidates = Candidates();
-  HoldRooms(step, 2, candidates, kNow);
-  BOOST_TEST(!rooms[0].held);
+  HoldCapacity(step, 2, candidates, kNow);
+  BOOST_TEST(!capacities[0].held);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/jobs/tests/question_queue_test.cc
+++ b/packages/jobs/tests/question_queue_test.cc
@@ -18,33 +18,34 @@
 
 struct Fixture {
   void Push(const std::string& job, Duration work,
-            Lateness lateness = Lateness::kInTime,
+            DeadlineStatus deadline_status = DeadlineStatus::kOnTime,
             Duration decision = milliseconds(600)) {
-    AdviceNeed need;
-    need.step.job = JobId(job);
-    need.policy.decision = decision;
-    if (lateness != Lateness::kInTime) need.limits.in_time = kNow - seconds(1);
-    if (lateness == Lateness::kWorthless)
-      need.limits.any_worth = kNow - seconds(1);
-    need.work = work;
-    need.room_taken = this->room_taken;
-    this->queue.Push(need, kNow);
+    PermissionRequest request;
+    request.step.job = JobId(job);
+    request.policy.decision = decision;
+    if (deadline_status != DeadlineStatus::kOnTime)
+      request.deadlines.on_time = kNow - seconds(1);
+    if (deadline_status == DeadlineStatus::kExpired)
+      request.deadlines.useful = kNow - seconds(1);
+    request.work = work;
+    request.capacity_reserved = this->capacity_reserved;
+    this->queue.Push(request, kNow);
   }
-  /// @return the jobs in the order in which their questions go; each counts as
-  ///   sent
+  /// @return the jobs in the order in which their questions are sent; each
+  ///   counts as sent
   std::vector<std::string> SendAll() {
     std::vector<std::string> order;
     while (this->queue.Size() > 0) {
       this->queue.Sort(kNow);
       const WaitingQuestion sent = this->queue.Take(0);
-      if (IsLong(sent.need.policy)) this->queue.NoteLongSent();
-      order.push_back(sent.need.step.job.Text());
+      if (IsLong(sent.request.policy)) this->queue.CountLongSent();
+      order.push_back(sent.request.step.job.Text());
     }
     return order;
   }
 
   QuestionQueue queue;
-  bool room_taken = false;
+  bool capacity_reserved = false;
 };
 
 using Order = std::vector<std::string>;
@@ -55,82 +56,82 @@
 
 BOOST_AUTO_TEST_CASE(short_questions_go_first_and_then_those_with_room) {
   Push("wide", seconds(900));
-  room_taken = true;
+  capacity_reserved = true;
   Push("has-room", seconds(1));
-  room_taken = false;
-  Push("short", seconds(1), Lateness::kInTime, milliseconds(20));
+  capacity_reserved = false;
+  Push("short", seconds(1), DeadlineStatus::kOnTime, milliseconds(20));
   BOOST_TEST(SendAll() == (Order{"short", "has-room", "wide"}),
              boost::test_tools::per_element());
 }
 
-// The hosts can't ask about all that waits. What brings most for the policy
-// service's time goes first: much work, cheap answers, and what can still be in
-// time before what is late, and both before what nobody waits for any more.
-BOOST_AUTO_TEST_CASE(what_pays_most_goes_first) {
-  // The oldest has the first turn.
+// More questions wait than the hosts can send. Those with the most value for
+// the policy service's time go first: much work, cheap answers, steps on time
+// before late ones, and both before steps without remaining value.
+BOOST_AUTO_TEST_CASE(highest_value_per_cost_goes_first) {
+  // The oldest question is sent first.
   Push("oldest", seconds(1));
-  Push("hopeless", seconds(900), Lateness::kWorthless);
-  Push("late", seconds(100), Lateness::kLate);
+  Push("expired", seconds(900), DeadlineStatus::kExpired);
+  Push("late", seconds(100), DeadlineStatus::kLate);
   Push("narrow", seconds(30));
   Push("wide", seconds(90));
   queue.Sort(kNow);
   queue.Take(0);
-  queue.NoteLongSent();
+  queue.CountLongSent();
   queue.Sort(kNow);
-  BOOST_TEST(queue.At(0).need.step.job.Text() == "wide");
-  BOOST_TEST(queue.At(1).need.step.job.Text() == "narrow");
-  BOOST_TEST(queue.At(2).need.step.job.Text() == "late");
-  BOOST_TEST(queue.At(3).need.step.job.Text() == "hopeless");
+  BOOST_TEST(queue.At(0).request.step.job.Text() == "wide");
+  BOOST_TEST(queue.At(1).request.step.job.Text() == "narrow");
+  BOOST_TEST(queue.At(2).request.step.job.Text() == "late");
+  BOOST_TEST(queue.At(3).request.step.job.Text() == "expired");
 }
 
-BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_a_dear_one) {
+BOOST_AUTO_TEST_CASE(a_cheap_answer_goes_before_an_expensive_one) {
   Push("oldest", seconds(1));
-  Push("dear", seconds(100), Lateness::kInTime, milliseconds(600));
-  Push("cheap", seconds(60), Lateness::kInTime, milliseconds(200));
+  Push("expensive", seconds(100), DeadlineStatus::kOnTime, milliseconds(600));
+  Push("cheap", seconds(60), DeadlineStatus::kOnTime, milliseconds(200));
   queue.Take(0);
-  queue.NoteLongSent();
+  queue.CountLongSent();
   queue.Sort(kNow);
-  BOOST_TEST(queue.At(0).need.step.job.Text() == "cheap");
+  BOOST_TEST(queue.At(0).request.step.job.Text() == "cheap");
 }
 
-// Wide gangs come faster than the hosts can ask, and a narrow one is behind all
-// of them each time. It has its turn when it is the oldest.
-BOOST_AUTO_TEST_CASE(what_pays_least_has_its_turn) {
+// Wide gangs arrive faster than the hosts can ask, and a narrow one is ranked
+// behind all of them. It is sent when it is the oldest.
+BOOST_AUTO_TEST_CASE(lowest_value_question_is_sent_when_oldest) {
   Push("narrow", seconds(1));
-  queue.NoteLongSent();
+  queue.CountLongSent();
   std::vector<std::string> sent;
   for (int i = 0; i < 8; ++i) {
     Push("wide", seconds(100));
     queue.Sort(kNow);
-    sent.push_back(queue.Take(0).need.step.job.Text());
-    queue.NoteLongSent();
+    sent.push_back(queue.Take(0).request.step.job.Text());
+    queue.CountLongSent();
   }
   BOOST_TEST((std::find(sent.begin(), sent.end(), "narrow") - sent.begin()) ==
              3);
 }
 
-// What nobody waits for any more is older than all others, and takes none of
-// the time of what is only late; but it ends.
-BOOST_AUTO_TEST_CASE(what_is_hopeless_has_few_turns) {
-  Push("hopeless", seconds(1), Lateness::kWorthless);
-  queue.NoteLongSent();
+// A question without remaining value is older than all others. It must not take
+// time from late questions, but it is sent in the end.
+BOOST_AUTO_TEST_CASE(expired_questions_are_rarely_promoted) {
+  Push("expired", seconds(1), DeadlineStatus::kExpired);
+  queue.CountLongSent();
   std::vector<std::string> sent;
   for (int i = 0; i < 20; ++i) {
     Push("wide", seconds(100));
     queue.Sort(kNow);
-    sent.push_back(queue.Take(0).need.step.job.Text());
-    queue.NoteLongSent();
+    sent.push_back(queue.Take(0).request.step.job.Text());
+    queue.CountLongSent();
   }
-  BOOST_TEST((std::find(sent.begin(), sent.end(), "hopeless") - sent.begin()) ==
+  BOOST_TEST((std::find(sent.begin(), sent.end(), "expired") - sent.begin()) ==
              15);
 }
 
-// A step that could be in time when it was asked for has waited, and is late.
-BOOST_AUTO_TEST_CASE(hope_is_that_of_the_moment) {
-  const BeginLimits limits{.in_time = kNow, .any_worth = kNow + seconds(5)};
-  BOOST_TEST((limits.At(kNow) == Lateness::kInTime));
-  BOOST_TEST((limits.At(kNow + seconds(1)) == Lateness::kLate));
-  BOOST_TEST((limits.At(kNow + seconds(6)) == Lateness::kWorthless));
+// A step that was on time when its question was queued has become late.
+BOOST_AUTO_TEST_CASE(deadline_status_follows_the_clock) {
+  const StartDeadlines deadlines{.on_time = kNow, .useful = kNow + seconds(5)};
+  BOOST_TEST((deadlines.At(kNow) == DeadlineStatus::kOnTime));
+  BOOST_TEST((deadlines.At(kNow + seconds(1)) == DeadlineStatus::kLate));
+  BOOST_TEST((deadlines.At(kNow + seconds(6)) == DeadlineStatus::kExpired));
 }
 
 BOOST_AUTO_TEST_CASE(questions_of_a_job_that_is_gone_are_dropped) {
@@ -140,8 +141,8 @@
   BOOST_TEST(SendAll() == Order{"stays"}, boost::test_tools::per_element());
 }
 
-// A step that declares nothing, or lasts for ever, must not count for nothing.
-BOOST_AUTO_TEST_CASE(all_work_counts_for_something) {
+// A step that declares nothing, or runs forever, must have a nonzero value.
+BOOST_AUTO_TEST_CASE(undeclared_work_has_a_minimum) {
   BOOST_TEST(DeclaredWork(MakeStep(4, 2000, seconds(3)), 4).count() ==
              Duration(seconds(24)).count());
   BOOST_TEST(DeclaredWork(MakeStep(1, 0, seconds(0)), 1).count() > 0);
--- a/packages/jobs/tests/wait_report_test.cc
+++ b/packages/jobs/tests/wait_report_test.cc
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "check_kept.h"
+#include "check_invariants.h"
 #include "job_sim/sim_cell.h"
 
 namespace mustardproxy::jobs {
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return how many lines about waiting steps give this reason
+/// @return the number of log lines about waiting steps with this reason
 std::size_t CountReason(SimCell* cell, const std::string& reason) {
   const std::string wanted = "reason=" + reason;
   std::size_t count = 0;
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_SUITE(wait_report)
 
-BOOST_AUTO_TEST_CASE(the_reason_is_the_first_thing_that_lacks) {
+BOOST_AUTO_TEST_CASE(the_reason_is_the_first_unmet_requirement) {
   BOOST_TEST((WaitFacts{}.Reason() == WaitReason::kNoWorker));
   BOOST_TEST((MakeFacts(3, 0, 0).Reason() == WaitReason::kPermissions));
   BOOST_TEST((MakeFacts(4, 3, 3).Reason() == WaitReason::kRoom));
@@ -51,33 +51,33 @@
   BOOST_TEST((MakeFacts(4, 4, 4).Reason() == WaitReason::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(a_wait_ends_by_the_first_thing_that_helps) {
+BOOST_AUTO_TEST_CASE(the_first_event_that_unblocks_is_reported) {
   WaitFacts facts = MakeFacts(8, 2, 0);
   facts.permitted = 2;
-  BOOST_TEST((facts.End() == WaitEnd::kNothing));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kNothing));
   facts.refused = 1;
-  BOOST_TEST((facts.End() == WaitEnd::kWorkers));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kWorkers));
   facts.held = 1;
-  BOOST_TEST((facts.End() == WaitEnd::kHold));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kHold));
   facts.fits_later = true;
-  BOOST_TEST((facts.End() == WaitEnd::kRuns));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kRuns));
   facts.helped_by_question = true;
-  BOOST_TEST((facts.End() == WaitEnd::kQuestion));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kQuestion));
   facts.asking = true;
-  BOOST_TEST((facts.End() == WaitEnd::kAnswer));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kAnswer));
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_with_room_waits_only_for_others_that_took_theirs) {
+BOOST_AUTO_TEST_CASE(a_gang_with_capacity_waits_only_for_reservations) {
   WaitFacts facts = MakeFacts(8, 4, 0);
   facts.gang = true;
-  BOOST_TEST((facts.End() == WaitEnd::kNothing));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kNothing));
   facts.room_taken_by_gangs = true;
-  BOOST_TEST((facts.End() == WaitEnd::kReservations));
+  BOOST_TEST((facts.NextUnblockEvent() == UnblockEvent::kReservations));
 }
 
-// A caller asks for a label that no worker has. Its job waits, and the log says
-// why, a line every two seconds.
-BOOST_AUTO_TEST_CASE(a_step_that_no_worker_can_run_is_told_of) {
+// A caller requires a label that no worker has. Its job waits, and the log
+// states the reason every two seconds.
+BOOST_AUTO_TEST_CASE(a_step_that_no_worker_can_run_is_reported) {
   const auto cell = SimCell::Builder().Build();
   JobSpec spec = MakeSpec({MakeStep(2, 1000, seconds(1))});
   spec.steps[0].required_label = "nobody-has-it";
@@ -88,7 +88,7 @@
   BOOST_TEST(CountReason(cell.get(), "no-worker") == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_room_is_told_of) {
+BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_capacity_is_reported) {
   const auto cell = SimCell::Builder().Workers(2).Build();
   cell->Submit(MakeSpec({MakeStep(2, 16'000, seconds(8))}));
   cell->Time().RunFor(seconds(1));
@@ -97,10 +97,10 @@
   cell->Submit(spec);
   cell->Time().RunFor(seconds(5));
   BOOST_TEST(CountReason(cell.get(), "room") == 2U);
-  CheckKept(cell.get());
+  CheckInvariants(cell.get());
 }
 
-// Thousands of jobs that nobody can run must not fill the log.
+// Thousands of jobs that can't run must not flood the log.
 BOOST_AUTO_TEST_CASE(lines_are_bounded) {
   const auto cell = SimCell::Builder().Build();
   for (int i = 0; i < 300; ++i) {
--- a/packages/peer/tests/job_link_test.cc
+++ b/packages/peer/tests/job_link_test.cc
@@ -9,7 +9,7 @@
 
 #include "job_sim/immediate_executor.h"
 #include "mustardproxy/core/error.h"
-#include "mustardproxy/jobs/awaited.h"
+#include "mustardproxy/jobs/waitable_value.h"
 
 namespace mustardproxy::testing {
 namespace {
@@ -35,9 +35,9 @@
     done(12);
   }
   void OnCreate(jobs::CreateRequest request,
-                Done<jobs::CreateEnd> done) override {
-    done(request.key == "taken" ? jobs::CreateEnd::kExists
-                                : jobs::CreateEnd::kNotDone);
+                Done<jobs::CreateOutcome> done) override {
+    done(request.key == "taken" ? jobs::CreateOutcome::kExists
+                                : jobs::CreateOutcome::kNotDone);
   }
   void OnAsk(jobs::AdviceQuestion question, Done<jobs::Advice> done) override {
     jobs::Advice advice;
@@ -49,8 +49,8 @@
   }
 
   bool owns = true;
-  jobs::Awaited<jobs::AnnouncedJob> announced;
-  jobs::Awaited<jobs::JobId> cancelled;
+  jobs::WaitableValue<jobs::AnnouncedJob> announced;
+  jobs::WaitableValue<jobs::JobId> cancelled;
 };
 
 struct Fixture {
@@ -62,7 +62,7 @@
   template <typename T>
   Result<T> Await(
       const std::function<void(std::function<void(Result<T>)>)>& call) {
-    auto awaited = std::make_shared<jobs::Awaited<Result<T>>>();
+    auto awaited = std::make_shared<jobs::WaitableValue<Result<T>>>();
     call([awaited](const Result<T>& value) { awaited->Set(value); });
     auto value = awaited->Wait(std::chrono::seconds(20));
     BOOST_REQUIRE(value.has_value());
@@ -125,15 +125,15 @@
 
 BOOST_AUTO_TEST_CASE(a_key_is_created_on_behalf_of_another) {
   const auto create = [&](const char* key) {
-    return Await<jobs::CreateEnd>([&](auto done) {
+    return Await<jobs::CreateOutcome>([&](auto done) {
       client.Create(
           address,
           {"job", jobs::JobId("j"), key, "value", std::chrono::seconds(5)},
           std::move(done));
     });
   };
-  BOOST_TEST((create("taken").value() == jobs::CreateEnd::kExists));
-  BOOST_TEST((create("other").value() == jobs::CreateEnd::kNotDone));
+  BOOST_TEST((create("taken").value() == jobs::CreateOutcome::kExists));
+  BOOST_TEST((create("other").value() == jobs::CreateOutcome::kNotDone));
 }
 
 BOOST_AUTO_TEST_CASE(a_process_that_is_gone_is_an_error_soon) {
--- a/testing/bench_decisions/dispatcher.cc
+++ b/testing/bench_decisions/dispatcher.cc
@@ -28,8 +28,8 @@
 
 void ProductDispatcher::Done(Instant now, const Placement& placement,
                              bool ran) {
-  this->scheduler.TaskDone(now, this->ledger, placement.task,
-                           this->learns && ran);
+  this->scheduler.OnTaskEnded(now, this->ledger, placement.task,
+                              this->learns && ran);
 }
 
 void ProductDispatcher::Requeue(Instant now, const QueuedRequest& request) {
@@ -87,7 +87,7 @@
 
 void EjectingDispatcher::FollowHealth(Instant now) {
   for (const WorkerId& worker : this->health.TakeChanged(now)) {
-    const WorkerStanding standing = this->health.Standing(now, worker);
+    const WorkerAvailability standing = this->health.Availability(now, worker);
     this->ledger->SetPlaceable(worker, standing.placeable, standing.share);
   }
 }
@@ -122,7 +122,8 @@
 
 std::vector<RequestId> FifoDispatcher::Expire(Instant now) {
   std::vector<RequestId> expired;
-  while (!this->queue.empty() && this->queue.front().place_by <= now) {
+  while (!this->queue.empty() &&
+         this->queue.front().placement_deadline <= now) {
     expired.push_back(this->queue.front().request);
     this->queue.pop_front();
   }
@@ -131,7 +132,7 @@
 
 void FifoDispatcher::Done(Instant /*now*/, const Placement& placement,
                           bool /*ran*/) {
-  this->ledger->Free(placement.worker, placement.task);
+  this->ledger->Release(placement.worker, placement.task);
 }
 
 void FifoDispatcher::Requeue(Instant /*now*/, const QueuedRequest& request) {
